--- a/internal/balancer/upstream/conn.go
+++ b/internal/balancer/upstream/conn.go
@@ -39,7 +39,7 @@
 	readTimeout   time.Duration // of each read; 0: the read deadline applies
 	maxBody       int64         // of a response
 	earlyResponse chan error    // while a body is streamed: the result of waiting for the response
-	receipt       *Receipt      // of its present attempt
+	progress       *Receipt      // of its present attempt
 	readFD        func(fd uintptr) (done bool)
 	readBuffer    []byte // of the read in progress, and its result
 	readBytes     int
@@ -91,7 +91,7 @@
 
 // tryRead reads what has arrived, and reports whether there was anything or the connection has ended.
 func (c *conn) tryRead(fd uintptr) (done bool) {
-	c.receipt.isReading.Store(true)
+	c.progress.isReading.Store(true)
 	for {
 		c.readBytes, c.readErr = syscall.Read(int(fd), c.readBuffer)
 		if !errors.Is(c.readErr, syscall.EINTR) {
@@ -99,7 +99,7 @@
 		}
 	}
 	if errors.Is(c.readErr, syscall.EAGAIN) {
-		c.receipt.isReading.Store(false)
+		c.progress.isReading.Store(false)
 		return false
 	}
 	c.readBytes = max(c.readBytes, 0)
--- a/internal/balancer/upstream/dial.go
+++ b/internal/balancer/upstream/dial.go
@@ -28,23 +28,23 @@
 
 // dialHedging decides when a dial is late, and whether a second one may be started.
 type dialHedging struct {
-	usual  time.Duration
+	typicalTime  time.Duration
 	budget float64
 }
 
-func (h *dialHedging) record(d time.Duration) {
+func (h *dialHedging) recordDialTime(d time.Duration) {
 	switch {
-	case h.usual == 0:
-		h.usual = d
-	case d < h.usual:
-		h.usual += (d - h.usual) / fastDialDivider
+	case h.typicalTime == 0:
+		h.typicalTime = d
+	case d < h.typicalTime:
+		h.typicalTime += (d - h.typicalTime) / fastDialDivider
 	default:
-		h.usual += (d - h.usual) / slowDialDivider
+		h.typicalTime += (d - h.typicalTime) / slowDialDivider
 	}
 }
 
 func (h *dialHedging) hedgeDelay() time.Duration {
-	return max(hedgeDelayMultiple*h.usual, minHedgeDelay)
+	return max(hedgeDelayMultiple*h.typicalTime, minHedgeDelay)
 }
 
 // dialResult is the end of one dial.
@@ -75,7 +75,7 @@
 		case result = <-second:
 			second, other = nil, first
 		case <-hedge.C:
-			if p.reserveHedge() {
+			if p.reserveHedgeSlot() {
 				second = p.startDial(dialCtx, pending)
 			}
 			continue
@@ -89,7 +89,7 @@
 			if other == nil {
 				cancel()
 			} else {
-				go p.adoptSpare(other, cancel)
+				go p.finishSpareDial(other, cancel)
 			}
 			return result.conn, nil
 		}
@@ -102,7 +102,7 @@
 		}
 		// The other dial may still succeed; one place is not needed any more.
 		c.mu.Lock()
-		p.releasePlace()
+		p.releaseSlot()
 		c.mu.Unlock()
 	}
 }
@@ -124,7 +124,7 @@
 	case first == nil:
 		remaining = second
 	case second != nil:
-		go p.adoptSpare(second, nil)
+		go p.finishSpareDial(second, nil)
 	}
 	if result := <-remaining; result.err == nil {
 		result.conn.Close()
@@ -134,24 +134,24 @@
 func (p *Pool) recordDial(d time.Duration) {
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
-	p.client.dials.record(d)
+	p.client.dials.recordDialTime(d)
 }
 
-// reserveHedge reserves a place for a second dial, and reports whether one may be started.
-func (p *Pool) reserveHedge() bool {
+// reserveHedgeSlot reserves a place for a second dial, and reports whether one may be started.
+func (p *Pool) reserveHedgeSlot() bool {
 	c := p.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.HedgeDials || p.closed || c.dials.budget < 1 || !p.reservePlace() {
+	if !c.HedgeDials || p.closed || c.dials.budget < 1 || !p.reserveSlot() {
 		return false
 	}
 	c.dials.budget--
 	return true
 }
 
-// adoptSpare makes a connection idle that no attempt waits for any more. It ends within the dial timeout. Without a cancel
+// finishSpareDial makes a connection idle that no attempt waits for any more. It ends within the dial timeout. Without a cancel
 // function the dial was cancelled, and its connection is closed.
-func (p *Pool) adoptSpare(dial chan dialResult, cancel context.CancelFunc) {
+func (p *Pool) finishSpareDial(dial chan dialResult, cancel context.CancelFunc) {
 	result := <-dial
 	if cancel != nil {
 		cancel()
@@ -165,7 +165,7 @@
 	}
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
-	p.releasePlace()
+	p.releaseSlot()
 }
 
 const (
--- a/internal/balancer/upstream/dial_test.go
+++ b/internal/balancer/upstream/dial_test.go
@@ -12,20 +12,20 @@
 	"silvertrail/lbpolicy"
 )
 
-// dials has the test decide when each connection comes up, and whether.
-type dials struct{ began chan *oneDial }
+// controlledDialer has the test decide when each connection comes up, and whether.
+type controlledDialer struct{ started chan *controlledDial }
 
-type oneDial struct {
-	goOn chan error
-	over chan struct{} // closed when it has ended
+type controlledDial struct {
+	proceed chan error
+	ended chan struct{} // closed when it has ended
 }
 
-func (d *dials) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	one := &oneDial{make(chan error, 1), make(chan struct{})}
-	d.began <- one
-	defer close(one.over)
+func (d *controlledDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	one := &controlledDial{make(chan error, 1), make(chan struct{})}
+	d.started <- one
+	defer close(one.ended)
 	select {
-	case err := <-one.goOn:
+	case err := <-one.proceed:
 		if err != nil {
 			return nil, err
 		}
@@ -35,52 +35,52 @@
 	}
 }
 
-func newDials(again bool) (*dials, *Client) {
-	d := &dials{make(chan *oneDial, 8)}
+func newControlledClient(again bool) (*controlledDialer, *Client) {
+	d := &controlledDialer{make(chan *controlledDial, 8)}
 	return d, NewClient(Options{DialTimeout: 2 * lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: 64, HedgeDials: again, Dial: d.dial})
 }
 
-type result struct {
-	v    lbpolicy.Verdict
+type attemptResult struct {
+	verdict    lbpolicy.Verdict
 	body string
 }
 
-func begin(ctx context.Context, p *Pool, id string) chan result {
-	came := make(chan result, 1)
+func startRequest(ctx context.Context, p *Pool, id string) chan attemptResult {
+	came := make(chan attemptResult, 1)
 	go func() {
-		v, a, _ := p.Do(ctx, request(id), &Receipt{}, yes)
+		v, a, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
 		if a == nil {
 			a = &Response{}
 		}
-		came <- result{v, string(a.Body)}
+		came <- attemptResult{v, string(a.Body)}
 	}()
 	return came
 }
 
 // A connection that is late holds an attempt up no longer than a second one takes. The request is written once; the late
 // connection stands idle, and is used by the next.
-func TestLateDial(t *testing.T) {
+func TestLateDialIsHedged(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-	d, c := newDials(true)
+	d, c := newControlledClient(true)
 	p := c.Pool(e.Addr)
 	defer p.Close()
-	came := begin(t.Context(), p, "one")
-	first := <-d.began
-	second := <-d.began // the first is late
-	second.goOn <- nil
-	if r := <-came; r.v != lbpolicy.OK || r.body != "answer to one" {
+	came := startRequest(t.Context(), p, "one")
+	first := <-d.started
+	second := <-d.started // the first is late
+	second.proceed <- nil
+	if r := <-came; r.verdict != lbpolicy.OK || r.body != "answer to one" {
 		t.Fatalf("got %+v", r)
 	}
-	first.goOn <- nil
+	first.proceed <- nil
 	lbtest.Until(t, "two idle connections", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(p.idle) == 2 && p.openConns == 2 && c.openConns == 2
 	})
-	if r := <-begin(t.Context(), p, "two"); r.v != lbpolicy.OK || len(d.began) > 0 {
-		t.Errorf("got %+v, %d more connections begun", r, len(d.began))
+	if r := <-startRequest(t.Context(), p, "two"); r.verdict != lbpolicy.OK || len(d.started) > 0 {
+		t.Errorf("got %+v, %d more connections begun", r, len(d.started))
 	}
 	if n := got.Load(); n != 2 {
 		t.Errorf("%d requests at the endpoint", n)
@@ -88,54 +88,54 @@
 }
 
 // All ends of two connections give their places back, and the attempt has the end that is true of both.
-func TestLateDialEnds(t *testing.T) {
+func TestHedgedDialReleasesUnusedSlots(t *testing.T) {
 	t.Parallel()
 	refused := errors.New("refused")
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	for name, end := range map[string]func(first, second *oneDial, give func()) (want lbpolicy.Verdict, open int){
-		"both fail": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			f.goOn <- refused
-			s.goOn <- refused
+	for name, end := range map[string]func(first, second *controlledDial, give func()) (want lbpolicy.Verdict, open int){
+		"both fail": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			f.proceed <- refused
+			s.proceed <- refused
 			return lbpolicy.ConnectFailed, 0
 		},
-		"the first fails": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			f.goOn <- refused
-			<-f.over
-			s.goOn <- nil
+		"the first fails": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			f.proceed <- refused
+			<-f.ended
+			s.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"the second fails": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			s.goOn <- refused
-			<-s.over
-			f.goOn <- nil
+		"the second fails": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			s.proceed <- refused
+			<-s.ended
+			f.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"given up": func(f, s *oneDial, give func()) (lbpolicy.Verdict, int) { give(); return lbpolicy.ConnectFailed, 0 },
-		"given up as the first fails": func(f, s *oneDial, give func()) (lbpolicy.Verdict, int) {
-			f.goOn <- refused
-			<-f.over
+		"given up": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) { give(); return lbpolicy.ConnectFailed, 0 },
+		"given up as the first fails": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) {
+			f.proceed <- refused
+			<-f.ended
 			give()
 			return lbpolicy.ConnectFailed, 0
 		},
-		"the late one fails after it": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			s.goOn <- nil
-			<-s.over
-			f.goOn <- refused
+		"the late one fails after it": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			s.proceed <- nil
+			<-s.ended
+			f.proceed <- refused
 			return lbpolicy.OK, 1
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d, c := newDials(true)
+			d, c := newControlledClient(true)
 			p := c.Pool(e.Addr)
 			defer p.Close()
 			ctx, give := context.WithCancel(t.Context())
 			defer give()
-			came := begin(ctx, p, "one")
-			first, second := <-d.began, <-d.began
+			came := startRequest(ctx, p, "one")
+			first, second := <-d.started, <-d.started
 			want, open := end(first, second, give)
-			if r := <-came; r.v != want {
-				t.Errorf("verdict %d, want %d", r.v, want)
+			if r := <-came; r.verdict != want {
+				t.Errorf("verdict %d, want %d", r.verdict, want)
 			}
 			lbtest.Until(t, "places are given back", func() bool {
 				c.mu.Lock()
@@ -147,29 +147,29 @@
 }
 
 // Second connections are a part of all at the most, so that slow endpoints are not burdened by twice as many.
-func TestLateDialBudget(t *testing.T) {
+func TestHedgedDialsAreLimitedByBudget(t *testing.T) {
 	t.Parallel()
-	d, c := newDials(true)
+	d, c := newControlledClient(true)
 	p := c.Pool("127.0.0.1:1")
 	defer p.Close()
 	c.dials.budget = 0
 	ctx, give := context.WithCancel(t.Context())
-	one := begin(ctx, p, "one") // brings half of one
-	<-d.began
-	two := begin(ctx, p, "two")
-	<-d.began
-	<-d.began // the one that both have brought
+	one := startRequest(ctx, p, "one") // brings half of one
+	<-d.started
+	two := startRequest(ctx, p, "two")
+	<-d.started
+	<-d.started // the one that both have brought
 	give()
 	<-one
 	<-two
-	if n := len(d.began); n > 0 || c.dials.budget >= 1 {
+	if n := len(d.started); n > 0 || c.dials.budget >= 1 {
 		t.Errorf("%d more were begun, %.1f are left", n, c.dials.budget)
 	}
 }
 
 // A second answer that is written late, after the next request has come, is not taken for that one's answer: a connection
 // is left alone for a while after an answer where another can be had. Here it always comes then.
-func TestLateSecondAnswer(t *testing.T) {
+func TestLateDuplicateResponseIsNotTakenForNextRequest(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
 		if a.Index > 0 {
@@ -181,7 +181,7 @@
 	p := c.Pool(e.Addr)
 	defer p.Close()
 	for _, id := range strings.Fields("one two three") {
-		if v, body := do(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
+		if v, body := sendRequest(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
 			t.Errorf("%s: verdict %d, %q", id, v, body)
 		}
 	}
@@ -191,14 +191,14 @@
 }
 
 // Where there is no place for another connection one that has not settled is used: the request would fail else.
-func TestUnsettled(t *testing.T) {
+func TestUnsettledConnectionIsReusedAtConnectionLimit(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	c := NewClient(Options{DialTimeout: lbtest.Wait, IdleTimeout: 10 * lbtest.Wait, SettleTime: 5 * lbtest.Wait, MaxConns: 1})
 	p := c.Pool(e.Addr)
 	defer p.Close()
 	for _, id := range strings.Fields("one two") {
-		if v, body := do(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
+		if v, body := sendRequest(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
 			t.Errorf("%s: verdict %d, %q", id, v, body)
 		}
 	}
--- a/internal/balancer/upstream/pool.go
+++ b/internal/balancer/upstream/pool.go
@@ -36,7 +36,7 @@
 	if c == nil {
 		return verdict, nil, err
 	}
-	c.receipt = receipt
+	c.progress = receipt
 	receipt.conn.Store(c)
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	started := time.Now()
@@ -86,7 +86,7 @@
 	}
 	response, reusable, err := c.readResponse(r.Method == http.MethodHead, timeout)
 	if err != nil {
-		return readFailure(c, complete, err)
+		return readErrorOutcome(c, complete, err)
 	}
 	o := outcome{verdict: classify(response, p.client.AnyStatus), response: response, reusable: reusable && complete}
 	if o.verdict != lbpolicy.OK {
@@ -95,8 +95,8 @@
 	return o
 }
 
-// readFailure returns the outcome of an attempt without a valid response.
-func readFailure(c *conn, requestComplete bool, err error) outcome {
+// readErrorOutcome returns the outcome of an attempt without a valid response.
+func readErrorOutcome(c *conn, requestComplete bool, err error) outcome {
 	switch {
 	case errors.Is(err, errMalformed): // the endpoint has responded: neither its connections nor its process have failed
 		return outcome{verdict: lbpolicy.Error, err: err}
@@ -138,7 +138,7 @@
 // acquire returns an idle connection or a new one. Without one, the verdict says why.
 func (p *Pool) acquire(ctx context.Context, receipt *Receipt) (*conn, lbpolicy.Verdict, error) {
 	for {
-		c, ok := p.reserve()
+		c, ok := p.takeIdleOrReserveSlot()
 		if c == nil && !ok { // this says nothing about the endpoint
 			return nil, lbpolicy.NotSent, errors.New("no descriptor to spare")
 		}
@@ -168,7 +168,7 @@
 		return c, lbpolicy.OK, nil
 	}
 	p.client.mu.Lock()
-	p.releasePlace()
+	p.releaseSlot()
 	p.client.mu.Unlock()
 	if exhaustion.Is(err) { // this says nothing about the endpoint
 		return nil, lbpolicy.NotSent, err
@@ -176,9 +176,9 @@
 	return nil, lbpolicy.ConnectFailed, err
 }
 
-// reserve takes the idle connection that was used last and has settled, or a place for a new one; ok is false if there is
+// takeIdleOrReserveSlot takes the idle connection that was used last and has settled, or a place for a new one; ok is false if there is
 // neither. Idle connections to other endpoints are closed for it.
-func (p *Pool) reserve() (c *conn, ok bool) {
+func (p *Pool) takeIdleOrReserveSlot() (c *conn, ok bool) {
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
 	for n := len(p.idle) - 1; n >= 0; n-- {
@@ -193,7 +193,7 @@
 		}
 		p.discard(c)
 	}
-	if p.reservePlace() {
+	if p.reserveSlot() {
 		return nil, true
 	}
 	if len(p.idle) > 0 { // a connection that has not settled is better than none
@@ -204,8 +204,8 @@
 	return nil, false
 }
 
-// reservePlace reserves a place for a new connection, and reports whether there was one. The caller holds the lock.
-func (p *Pool) reservePlace() bool {
+// reserveSlot reserves a place for a new connection, and reports whether there was one. The caller holds the lock.
+func (p *Pool) reserveSlot() bool {
 	c := p.client
 	if p.openConns >= max(c.MaxConns/maxConnsDivider, 1) {
 		return false
@@ -221,8 +221,8 @@
 	return true
 }
 
-// releasePlace releases the place of a connection. The caller holds the lock.
-func (p *Pool) releasePlace() {
+// releaseSlot releases the place of a connection. The caller holds the lock.
+func (p *Pool) releaseSlot() {
 	p.openConns--
 	p.client.openConns--
 	if p.client.Allocation != nil {
@@ -233,7 +233,7 @@
 // discard closes a connection that is not in use or idle. The caller holds the lock.
 func (p *Pool) discard(c *conn) {
 	c.Close()
-	p.releasePlace()
+	p.releaseSlot()
 }
 
 // release ends a connection's use: it is idle from now on, or is closed.
--- a/internal/balancer/upstream/read.go
+++ b/internal/balancer/upstream/read.go
@@ -38,7 +38,7 @@
 		if err := c.awaitFirstByte(); err != nil {
 			return nil, false, err
 		}
-		if !c.hasWholeResponse() {
+		if !c.hasCompleteResponse() {
 			c.setReadDeadline(time.Now().Add(timeout))
 			if c.maxBody > maxBufferedBytes {
 				c.readTimeout = timeout
@@ -75,9 +75,9 @@
 	return min(max(left/stallDivider, minStall), maxStall)
 }
 
-// hasWholeResponse reports whether a whole response with a length is in the buffer, as small ones mostly are: then nothing is waited
+// hasCompleteResponse reports whether a whole response with a length is in the buffer, as small ones mostly are: then nothing is waited
 // for. In doubt it is false.
-func (c *conn) hasWholeResponse() bool {
+func (c *conn) hasCompleteResponse() bool {
 	const field = "\r\n" + contentLengthHeader + ": "
 	text, _ := c.reader.Peek(c.reader.Buffered())
 	end := httphead.End(text)
--- a/internal/balancer/upstream/stream.go
+++ b/internal/balancer/upstream/stream.go
@@ -45,7 +45,7 @@
 	received  int64
 	reusable  bool // the connection can be reused after it
 	complete  bool // all was read
-	begun     bool // the buffered part is complete: delays only affect the client from now on
+	bufferingDone     bool // the buffered part is complete: delays only affect the client from now on
 	delivered bool // the client has all of it
 	onRelease func(*ResponseStream)
 	onClose   func()
@@ -63,8 +63,8 @@
 			s.complete = true
 			return body, nil
 		}
-		if s.mayStream(len(body), time.Since(started)) {
-			s.begun = true
+		if s.shouldStream(len(body), time.Since(started)) {
+			s.bufferingDone = true
 			return body, nil
 		}
 		if len(body) > maxBufferedBytes {
@@ -94,8 +94,8 @@
 	return s.complete || s.decoder == nil && s.remaining == 0 && s.length >= 0
 }
 
-// mayStream reports whether the rest of a body is streamed: it exceeds the buffer, or may do so and arrives slowly.
-func (s *ResponseStream) mayStream(buffered int, elapsed time.Duration) bool {
+// shouldStream reports whether the rest of a body is streamed: it exceeds the buffer, or may do so and arrives slowly.
+func (s *ResponseStream) shouldStream(buffered int, elapsed time.Duration) bool {
 	if s.maxBytes <= maxBufferedBytes {
 		return false
 	}
--- a/internal/balancer/upstream/upstream_test.go
+++ b/internal/balancer/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 	"silvertrail/lbpolicy"
 )
 
-func request(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{Method: "GET", Target: "/read", Host: "app.svc", Deadline: time.Now().Add(lbtest.Wait),
 		Header: http.Header{"X-Request-Id": {id}}}
 }
@@ -25,13 +25,13 @@
 	return NewClient(Options{DialTimeout: lbtest.Wait, IdleTimeout: idle, MaxConns: 4})
 }
 
-func yes() bool { return true }
+func alwaysClaim() bool { return true }
 
-func do(t *testing.T, p *Pool, id string) (lbpolicy.Verdict, string) {
+func sendRequest(t *testing.T, p *Pool, id string) (lbpolicy.Verdict, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), lbtest.Wait)
 	defer cancel()
-	v, a, _ := p.Do(ctx, request(id), &Receipt{}, yes)
+	v, a, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
 	if ctx.Err() != nil {
 		t.Fatal("the attempt did not end by itself")
 	}
@@ -43,7 +43,7 @@
 
 // Spoilt answers end the attempt by themselves, as errors that may have run, and their connections are closed though
 // the endpoint keeps them open. Good answers are good whatever comes before or behind them.
-func TestAnswers(t *testing.T) {
+func TestMalformedResponsesAreErrorsAndValidOnesSucceed(t *testing.T) {
 	spoilt := map[string]string{
 		"noise":             "\x01\x02\xff\r\n\r\n",
 		"noise, no end":     "\x01\x02\xff",
@@ -70,14 +70,14 @@
 		"noise more":  lbtest.OK("ok") + "\x01\x02",
 	}
 	for name, text := range spoilt {
-		t.Run(name, func(t *testing.T) { t.Parallel(); answers(t, text, lbpolicy.Error, "") })
+		t.Run(name, func(t *testing.T) { t.Parallel(); checkResponse(t, text, lbpolicy.Error, "") })
 	}
 	for name, text := range good {
-		t.Run(name, func(t *testing.T) { t.Parallel(); answers(t, text, lbpolicy.OK, "ok") })
+		t.Run(name, func(t *testing.T) { t.Parallel(); checkResponse(t, text, lbpolicy.OK, "ok") })
 	}
 }
 
-func answers(t *testing.T, text string, verdict lbpolicy.Verdict, body string) {
+func checkResponse(t *testing.T, text string, verdict lbpolicy.Verdict, body string) {
 	t.Helper()
 	odd := verdict != lbpolicy.OK || strings.Contains(text, "xx") || strings.HasSuffix(text, "\x02")
 	first := true
@@ -94,10 +94,10 @@
 	c := newClient(lbtest.Wait)
 	p := c.Pool(e.Addr)
 	defer p.Close()
-	if v, got := do(t, p, "one"); v != verdict || got != body {
+	if v, got := sendRequest(t, p, "one"); v != verdict || got != body {
 		t.Errorf("verdict %d, body %q", v, got)
 	}
-	if v, got := do(t, p, "two"); v != lbpolicy.OK || got != "answer to two" {
+	if v, got := sendRequest(t, p, "two"); v != lbpolicy.OK || got != "answer to two" {
 		t.Errorf("the next request: verdict %d, body %q", v, got)
 	}
 	if odd && second != 0 {
@@ -109,7 +109,7 @@
 }
 
 // What stands on a connection before its request is written is not the answer: it is never used again.
-func TestStale(t *testing.T) {
+func TestUnsolicitedResponseDiscardsIdleConnection(t *testing.T) {
 	late := make(chan *lbtest.Arrival, 1)
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
 		if a.Request.Header.Get("X-Request-Id") == "one" {
@@ -120,19 +120,19 @@
 	c := newClient(lbtest.Wait)
 	p := c.Pool(e.Addr)
 	defer p.Close()
-	if v, _ := do(t, p, "one"); v != lbpolicy.OK {
+	if v, _ := sendRequest(t, p, "one"); v != lbpolicy.OK {
 		t.Fatal(v)
 	}
 	a := <-late
 	a.Write([]byte(lbtest.OK("a stranger's")))
 	// Loopback hands the bytes over within the write.
-	if v, body := do(t, p, "two"); v != lbpolicy.OK || body != "answer to two" {
+	if v, body := sendRequest(t, p, "two"); v != lbpolicy.OK || body != "answer to two" {
 		t.Errorf("verdict %d, body %q", v, body)
 	}
 }
 
 // Outcomes that prove that a request never ran are told from those that don't.
-func TestOutcomes(t *testing.T) {
+func TestVerdictTellsWhetherRequestMayHaveRun(t *testing.T) {
 	for text, verdict := range map[string]lbpolicy.Verdict{
 		"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n": lbpolicy.ServerFull,
 		"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n": lbpolicy.ServerFull,
@@ -153,20 +153,20 @@
 			})
 			p := newClient(lbtest.Wait).Pool(e.Addr)
 			defer p.Close()
-			if v, _ := do(t, p, "one"); v != verdict {
+			if v, _ := sendRequest(t, p, "one"); v != verdict {
 				t.Errorf("verdict %d, not %d", v, verdict)
 			}
 		})
 	}
 	l := lbtest.Listen(t)
 	l.Close()
-	if v, _ := do(t, newClient(lbtest.Wait).Pool(l.Addr().String()), "one"); v != lbpolicy.ConnectFailed {
+	if v, _ := sendRequest(t, newClient(lbtest.Wait).Pool(l.Addr().String()), "one"); v != lbpolicy.ConnectFailed {
 		t.Errorf("refused: verdict %d", v)
 	}
 }
 
 // An idle connection ends by itself: when the endpoint closes it, when something comes on it, and after its time.
-func TestIdleEnds(t *testing.T) {
+func TestUnusableIdleConnectionIsClosed(t *testing.T) {
 	for name, idle := range map[string]time.Duration{"close": lbtest.Wait, "noise": lbtest.Wait, "time": time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -182,7 +182,7 @@
 			c := newClient(idle)
 			p := c.Pool(e.Addr)
 			defer p.Close()
-			if v, _ := do(t, p, "one"); v != lbpolicy.OK {
+			if v, _ := sendRequest(t, p, "one"); v != lbpolicy.OK {
 				t.Fatal(v)
 			}
 			lbtest.Until(t, "no connection open", func() bool { return c.OpenConns() == 0 })
@@ -192,7 +192,7 @@
 
 // Endpoints that drop kept connections sooner than they should cost a call or two, not one in each: what has stood as
 // long is no longer used.
-func TestIdleLimitLearnt(t *testing.T) {
+func TestIdleLimitIsLearnedFromOneReset(t *testing.T) {
 	const stands = 300 * time.Millisecond
 	var lost atomic.Bool
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
@@ -206,15 +206,15 @@
 	c := newClient(lbtest.Wait)
 	p := c.Pool(e.Addr)
 	defer p.Close()
-	do(t, p, "one")
-	if v, _ := do(t, p, "two"); v != lbpolicy.OK { // kept
+	sendRequest(t, p, "one")
+	if v, _ := sendRequest(t, p, "two"); v != lbpolicy.OK { // kept
 		t.Fatal(v)
 	}
 	lost.Store(true)
 	resets := 0
 	for i := range 6 {
 		time.Sleep(stands) // longer waits do no harm
-		if v, _ := do(t, p, fmt.Sprint(i)); v == lbpolicy.Reset {
+		if v, _ := sendRequest(t, p, fmt.Sprint(i)); v == lbpolicy.Reset {
 			resets++
 		}
 	}
@@ -225,7 +225,7 @@
 
 // Where any status may be meant for the caller, an answer is served as it came; what proves that nothing ran, and what
 // speaks of the endpoint, stay what they are. An answer to HEAD has no body, whatever length it tells.
-func TestAnyStatus(t *testing.T) {
+func TestAnyStatusAcceptsResponsesMeantForClient(t *testing.T) {
 	var answer atomic.Value
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.Write([]byte(answer.Load().(string))) })
 	p := NewClient(Options{DialTimeout: lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: 4, AnyStatus: true}).Pool(e.Addr)
@@ -236,15 +236,15 @@
 		"429 Busy\r\nX-Not-Processed: 1": lbpolicy.ServerFull, "101 Switching Protocols": lbpolicy.Error,
 	} {
 		answer.Store("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n")
-		if v, _ := do(t, p, head); v != want {
+		if v, _ := sendRequest(t, p, head); v != want {
 			t.Errorf("%s: verdict %d, want %d", head, v, want)
 		}
 	}
 	for range 2 { // the second on the same connection
 		answer.Store("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
-		r := request("head")
+		r := newRequest("head")
 		r.Method = "HEAD"
-		v, a, err := p.Do(t.Context(), r, &Receipt{}, yes)
+		v, a, err := p.Do(t.Context(), r, &Receipt{}, alwaysClaim)
 		if v != lbpolicy.OK || len(a.Body) > 0 || a.Header.Get("Content-Length") != "500" {
 			t.Errorf("HEAD: verdict %d, %+v, %v", v, a, err)
 		}
@@ -252,7 +252,7 @@
 }
 
 // The process's bound holds over the clients of all clusters, and every place is given back.
-func TestShare(t *testing.T) {
+func TestQuotaPoolBoundsConnectionsOfAllClients(t *testing.T) {
 	hung := lbtest.NewEndpoint(t, nil)
 	total := quota.NewPool(3)
 	share := func() *quota.Allocation { return total.Allocate(1, 2) }
@@ -261,16 +261,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var held sync.WaitGroup
 	for range 2 {
-		held.Go(func() { a.Pool(hung.Addr).Do(ctx, request("held"), &Receipt{}, yes) })
+		held.Go(func() { a.Pool(hung.Addr).Do(ctx, newRequest("held"), &Receipt{}, alwaysClaim) })
 		<-hung.Arrivals
 	}
-	if v, _, _ := a.Pool(hung.Addr).Do(ctx, request("over"), &Receipt{}, yes); v != lbpolicy.NotSent {
+	if v, _, _ := a.Pool(hung.Addr).Do(ctx, newRequest("over"), &Receipt{}, alwaysClaim); v != lbpolicy.NotSent {
 		t.Errorf("over its cap: verdict %d", v)
 	}
 	quick := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	other := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	for _, addr := range []string{quick.Addr, other.Addr} { // what stands idle makes room
-		if v, body := do(t, b.Pool(addr), "free"); v != lbpolicy.OK {
+		if v, body := sendRequest(t, b.Pool(addr), "free"); v != lbpolicy.OK {
 			t.Errorf("within its reserve: verdict %d %s", v, body)
 		}
 	}
@@ -282,7 +282,7 @@
 }
 
 // A spoilt answer must leave a request the time for another attempt, whatever the deadlines of its customer.
-func TestStallIn(t *testing.T) {
+func TestStallTimeoutLeavesTimeForRetry(t *testing.T) {
 	for left, want := range map[time.Duration]time.Duration{
 		6 * time.Second: maxStall, 3 * time.Second: maxStall, 1100 * time.Millisecond: 275 * time.Millisecond,
 		200 * time.Millisecond: minStall, -time.Second: minStall, 100 * time.Second: maxStall,
--- a/internal/balancer/upstream/write.go
+++ b/internal/balancer/upstream/write.go
@@ -43,7 +43,7 @@
 	pooled := requestBuffers.Get().(*[]byte)
 	head := appendHead((*pooled)[:0], r, timeout)
 	if r.Stream != nil {
-		c.receipt.recordSent()
+		c.progress.recordSent()
 		w := streamWriter{conn: c, stream: r.Stream, chunked: r.Stream.Length() < 0}
 		return w.write(head, r.Body)
 	}
@@ -52,10 +52,10 @@
 	if size <= maxSingleWrite {
 		head = append(head, r.Body...)
 		n, _ := c.Conn.Write(head)
-		c.receipt.recordSent()
+		c.progress.recordSent()
 		written = int64(n)
 	} else {
-		c.receipt.recordSent()
+		c.progress.recordSent()
 		c.SetWriteDeadline(time.Now().Add(min(timeout, writeTimeout)))
 		message := net.Buffers{head, r.Body}
 		written, _ = message.WriteTo(c.Conn)
--- a/internal/simulator/decoder_test.go
+++ b/internal/simulator/decoder_test.go
@@ -34,7 +34,7 @@
 	fmt.Fprintf(n, "gone %d %d;", i, id)
 }
 func (n *eventRecorder) Timer(i uint32, token uint64) { fmt.Fprintf(n, "timer %d %d;", i, token) }
-func unhex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -46,8 +46,8 @@
 // frame puts a batch header before records.
 func frame(t testing.TB, records string) []byte {
 	t.Helper()
-	body := unhex(t, records)
-	return append(unhex(t, fmt.Sprintf("%02x%02x0000 508d976e12d32040", (len(body)+12)&255, (len(body)+12)>>8)), body...)
+	body := decodeHex(t, records)
+	return append(decodeHex(t, fmt.Sprintf("%02x%02x0000 508d976e12d32040", (len(body)+12)&255, (len(body)+12)>>8)), body...)
 }
 
 func decode(b []byte) (string, error) {
@@ -66,7 +66,7 @@
 }
 
 // The examples printed in the protocol's description.
-func TestExamples(t *testing.T) {
+func TestProtocolExamplesAreDecoded(t *testing.T) {
 	const inbound = "0300 03000000 c4913a5d00660000 00 00000000 640ad2557c3bf091 b81e85eb51b8ce3f fa7e6abc7493883f 01"
 	for _, c := range []struct{ hex, want string }{
 		{"", ""},
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestActionsAreEncoded(t *testing.T) {
 	var p Reply
 	p.Reset()
 	if got := hex.EncodeToString(p.Bytes()); got != "0800000000000000" {
@@ -113,7 +113,7 @@
 	} {
 		p.Reset()
 		c.act()
-		want := unhex(t, c.want)
+		want := decodeHex(t, c.want)
 		want = append([]byte{byte(len(want) + 8), 0, 0, 0, 1, 0, 0, 0}, want...)
 		if !bytes.Equal(p.Bytes(), want) {
 			t.Errorf("%x, want %x", p.Bytes(), want)
@@ -122,15 +122,15 @@
 }
 
 // Frames that can't be read are told with the record and its place.
-func TestBadFrames(t *testing.T) {
+func TestMalformedFrameErrorNamesRecordAndOffset(t *testing.T) {
 	for _, c := range []struct {
 		frame []byte
 		want  string
 	}{
-		{unhex(t, "0c0000"), "batch header at byte 0: cut off after 3 bytes"},
-		{unhex(t, "05000000 508d976e12d32040"), "length 5 out of range"},
-		{unhex(t, "ffffffff 508d976e12d32040"), "out of range"},
-		{unhex(t, "20000000 508d976e12d32040 0a00"), "32 bytes announced, cut off after 14"},
+		{decodeHex(t, "0c0000"), "batch header at byte 0: cut off after 3 bytes"},
+		{decodeHex(t, "05000000 508d976e12d32040"), "length 5 out of range"},
+		{decodeHex(t, "ffffffff 508d976e12d32040"), "out of range"},
+		{decodeHex(t, "20000000 508d976e12d32040 0a00"), "32 bytes announced, cut off after 14"},
 		{frame(t, "6300 03000000"), "record code 99 at byte 12: unknown event code"},
 		{frame(t, "0a00 03000000 0700 03000000 4d00"), "WAKEUP at byte 18: needs 8 bytes, 2 left"},
 		{frame(t, "0b00 00 ffffff0f 00"), "POOL at byte 12: count 268435455 past the frame's end"},
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -10,7 +10,7 @@
 
 // Codes of actions.
 const (
-	actionFault = iota + 1
+	actionException = iota + 1
 	actionReject
 	actionCloseIdle
 	actionSend
@@ -18,7 +18,7 @@
 	actionLog
 	actionCancel
 	actionWatch
-	actionTellPeer
+	actionPeerMessage
 	actionSetTimer
 	actionFetchList
 	actionFail
@@ -48,21 +48,21 @@
 	p.u64(math.Float64bits(d.Seconds()))
 }
 
-func (p *Reply) begin(code uint16, inst uint32) {
+func (p *Reply) beginAction(code uint16, inst uint32) {
 	p.count++
 	p.buffer = binary.LittleEndian.AppendUint16(p.buffer, code)
 	p.u32(inst)
 }
 
-func (p *Reply) text(code uint16, inst uint32, text string) {
+func (p *Reply) appendText(code uint16, inst uint32, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
-	p.begin(code, inst)
+	p.beginAction(code, inst)
 	p.buffer = binary.LittleEndian.AppendUint16(p.buffer, uint16(len(text)))
 	p.buffer = append(p.buffer, text...)
 }
 
 // Exception reports that an instance's policy has failed.
-func (p *Reply) Exception(inst uint32, text string) { p.text(actionFault, inst, text) }
+func (p *Reply) Exception(inst uint32, text string) { p.appendText(actionException, inst, text) }
 
 // Host returns the lbpolicy.Host that writes an instance's actions into the reply.
 func (p *Reply) Host(inst uint32) lbpolicy.Host { return host{p, inst} }
@@ -73,46 +73,46 @@
 }
 
 func (h host) Send(id lbpolicy.RequestID, s lbpolicy.ServerID) {
-	h.begin(actionSend, h.instance)
+	h.beginAction(actionSend, h.instance)
 	h.u64(uint64(id))
 	h.u32(uint32(s))
 	h.time(0) // no limit but the client's
 }
 
 func (h host) Reject(id lbpolicy.RequestID, retryAfter time.Duration) {
-	h.begin(actionReject, h.instance)
+	h.beginAction(actionReject, h.instance)
 	h.u64(uint64(id))
 	h.time(retryAfter)
 }
 
 func (h host) Fail(id lbpolicy.RequestID) {
-	h.begin(actionFail, h.instance)
+	h.beginAction(actionFail, h.instance)
 	h.u64(uint64(id))
 }
 
 func (h host) Cancel(id lbpolicy.RequestID, attempt int) {
-	h.begin(actionCancel, h.instance)
+	h.beginAction(actionCancel, h.instance)
 	h.u64(uint64(id))
 	h.buffer = append(h.buffer, uint8(attempt))
 }
 
 func (h host) CloseIdle(s lbpolicy.ServerID) {
-	h.begin(actionCloseIdle, h.instance)
+	h.beginAction(actionCloseIdle, h.instance)
 	h.u32(uint32(s))
 }
 
 func (h host) Watch() {
-	h.begin(actionWatch, h.instance)
+	h.beginAction(actionWatch, h.instance)
 	h.buffer = append(h.buffer, 1)
 }
 
 func (h host) SetTimer(at time.Duration, token uint64) {
-	h.begin(actionSetTimer, h.instance)
+	h.beginAction(actionSetTimer, h.instance)
 	h.time(at)
 	h.u64(token)
 }
 
-func (h host) Log(text string) { h.text(actionLog, h.instance, text) }
+func (h host) Log(text string) { h.appendText(actionLog, h.instance, text) }
 
 // ServerProgress implements lbpolicy.Host: the simulator reports outcomes as they come.
 func (h host) ServerProgress(lbpolicy.ServerID) lbpolicy.ServerProgress {
