--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -11,7 +11,8 @@
 	"silvertrail/lbpolicy"
 )
 
-// Run answers batches until the input ends between two frames.
+// Run reads batches of events from in and writes one reply frame for each to out. It returns nil when the input ends between two
+// frames.
 func Run(in io.Reader, out io.Writer) error {
 	d := NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	a := &adapter{instances: map[uint32]*lbpolicy.Balancer{}}
@@ -34,70 +35,72 @@
 	}
 }
 
-// adapter holds a balancer for each instance, and passes events to it. It implements Handler.
+// adapter implements Handler. It holds one balancer per simulated instance and passes each event to the balancer of its instance.
 type adapter struct {
 	now       time.Duration
 	reply     Reply
 	instances map[uint32]*lbpolicy.Balancer
 }
 
-// withBalancer calls f with an instance's balancer. A panic in it becomes an exception of that instance.
-func (a *adapter) withBalancer(inst uint32, f func(*lbpolicy.Balancer)) {
-	b := a.instances[inst]
+// withBalancer calls f with the balancer of an instance, and does nothing if the instance has none. A panic in f ends the instance
+// and is reported as its exception.
+func (a *adapter) withBalancer(instance uint32, f func(*lbpolicy.Balancer)) {
+	b := a.instances[instance]
 	if b == nil {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			delete(a.instances, inst)
-			a.reply.Exception(inst, fmt.Sprint(p))
+			delete(a.instances, instance)
+			a.reply.Exception(instance, fmt.Sprint(p))
 		}
 	}()
 	f(b)
 }
 
-// Open implements Handler: it starts an instance.
-func (a *adapter) Open(inst uint32, seed uint64, text []byte) {
-	delete(a.instances, inst)
+// Open implements Handler. It starts an instance with the settings in text, replacing an instance of the same number. Invalid
+// settings are reported as an exception of the instance.
+func (a *adapter) Open(instance uint32, seed uint64, text []byte) {
+	delete(a.instances, instance)
 	s, err := settings.Parse(text)
 	if err == nil {
-		a.instances[inst], err = lbpolicy.New(s, seed, a.reply.Host(inst))
+		a.instances[instance], err = lbpolicy.New(s, seed, a.reply.Host(instance))
 	}
 	if err != nil {
-		delete(a.instances, inst)
-		a.reply.Exception(inst, err.Error())
+		delete(a.instances, instance)
+		a.reply.Exception(instance, err.Error())
 	}
 }
 
-// Halt implements Handler: it ends an instance.
-func (a *adapter) Halt(inst uint32) { delete(a.instances, inst) }
+// Halt implements Handler. It ends an instance.
+func (a *adapter) Halt(instance uint32) { delete(a.instances, instance) }
 
-// UpdateEndpoints implements Handler: it passes a list on.
-func (a *adapter) UpdateEndpoints(inst uint32, kind lbpolicy.ListKind, entries []lbpolicy.Server) {
-	a.withBalancer(inst, func(b *lbpolicy.Balancer) { b.UpdateEndpoints(a.now, kind, entries) })
+// UpdateEndpoints implements Handler. It passes an endpoint list to the balancer.
+func (a *adapter) UpdateEndpoints(instance uint32, kind lbpolicy.ListKind, entries []lbpolicy.Server) {
+	a.withBalancer(instance, func(b *lbpolicy.Balancer) { b.UpdateEndpoints(a.now, kind, entries) })
 }
 
-// Request implements Handler: it passes a request on.
-func (a *adapter) Request(inst uint32, r lbpolicy.Request) {
-	a.withBalancer(inst, func(b *lbpolicy.Balancer) { b.Request(a.now, r) })
+// Request implements Handler. It passes an arriving request to the balancer.
+func (a *adapter) Request(instance uint32, r lbpolicy.Request) {
+	a.withBalancer(instance, func(b *lbpolicy.Balancer) { b.Request(a.now, r) })
 }
 
-// ResponseStarted implements Handler: it passes the start of a response on.
-func (a *adapter) ResponseStarted(inst uint32, id lbpolicy.RequestID) {
-	a.withBalancer(inst, func(b *lbpolicy.Balancer) { b.ResponseStarted(a.now, id) })
+// ResponseStarted implements Handler. It tells the balancer that a response has started.
+func (a *adapter) ResponseStarted(instance uint32, id lbpolicy.RequestID) {
+	a.withBalancer(instance, func(b *lbpolicy.Balancer) { b.ResponseStarted(a.now, id) })
 }
 
-// Outcome implements Handler: it passes the end of an attempt on.
-func (a *adapter) Outcome(inst uint32, o lbpolicy.Outcome) {
-	a.withBalancer(inst, func(b *lbpolicy.Balancer) { b.Outcome(a.now, o) })
+// Outcome implements Handler. It passes the outcome of an attempt to the balancer.
+func (a *adapter) Outcome(instance uint32, o lbpolicy.Outcome) {
+	a.withBalancer(instance, func(b *lbpolicy.Balancer) { b.Outcome(a.now, o) })
 }
 
-// ClientDisconnected implements Handler: it passes a disconnect on.
-func (a *adapter) ClientDisconnected(inst uint32, id lbpolicy.RequestID) {
-	a.withBalancer(inst, func(b *lbpolicy.Balancer) { b.ClientDisconnected(a.now, id) })
+// ClientDisconnected implements Handler. It tells the balancer that the client of a request has disconnected.
+func (a *adapter) ClientDisconnected(instance uint32, id lbpolicy.RequestID) {
+	a.withBalancer(instance, func(b *lbpolicy.Balancer) { b.ClientDisconnected(a.now, id) })
 }
 
-// Timer implements Handler: it passes a timer on.
-func (a *adapter) Timer(inst uint32, token uint64) {
-	a.withBalancer(inst, func(b *lbpolicy.Balancer) { b.Timer(a.now, token) })
+// Timer implements Handler. It tells the balancer that a timer has expired.
+func (a *adapter) Timer(instance uint32, token uint64) {
+	a.withBalancer(instance, func(b *lbpolicy.Balancer) { b.Timer(a.now, token) })
 }
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -21,15 +21,16 @@
 	return bytes.Join([][]byte{littleEndian(uint32(len(body) + 12)), littleEndian(math.Float64bits(now)), body}, nil)
 }
 
-func openRecord(inst uint32, text string) []byte {
-	return bytes.Join([][]byte{littleEndian(uint16(1)), littleEndian(inst), littleEndian(uint64(7)), littleEndian(uint32(len(text))), []byte(text)}, nil)
+func openRecord(instance uint32, text string) []byte {
+	return bytes.Join([][]byte{littleEndian(uint16(1)), littleEndian(instance), littleEndian(uint64(7)), littleEndian(uint32(len(text))), []byte(text)}, nil)
 }
 
-func requestRecord(inst uint32, id uint64) []byte {
-	return bytes.Join([][]byte{littleEndian(uint16(3)), littleEndian(inst), littleEndian(id), make([]byte, 13), littleEndian(2.0), make([]byte, 9)}, nil)
+func requestRecord(instance uint32, id uint64) []byte {
+	return bytes.Join([][]byte{littleEndian(uint16(3)), littleEndian(instance), littleEndian(id), make([]byte, 13), littleEndian(2.0), make([]byte, 9)}, nil)
 }
 
-// Each instance's profile and state are its own; one whose profile are bad is an exception, the others go on.
+// Guards against one instance's failure affecting the others. An instance with invalid settings is reported as an exception, and the
+// other instance still takes its actions.
 func TestInvalidSettingsFailOnlyTheirInstance(t *testing.T) {
 	var out bytes.Buffer
 	in := bytes.Join([][]byte{
@@ -40,21 +41,21 @@
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("Classes: none")) {
-		t.Errorf("no exception that names the key: %q", out.Bytes())
+		t.Errorf("reply has no exception that names the invalid settings key: %q", out.Bytes())
 	}
-	refuse := bytes.Join([][]byte{littleEndian(uint16(2)), littleEndian(uint32(1)), littleEndian(uint64(5))}, nil)
-	if !bytes.HasSuffix(out.Bytes(), append(refuse, make([]byte, 8)...)) {
-		t.Errorf("no refusal while there is no server: %q", out.Bytes())
+	reject := bytes.Join([][]byte{littleEndian(uint16(2)), littleEndian(uint32(1)), littleEndian(uint64(5))}, nil)
+	if !bytes.HasSuffix(out.Bytes(), append(reject, make([]byte, 8)...)) {
+		t.Errorf("reply does not end with a rejection although the valid instance has no server: %q", out.Bytes())
 	}
 }
 
 func TestInputEndingWithinFrameIsError(t *testing.T) {
-	whole := batch(1, openRecord(1, settingsText))
-	if err := Run(bytes.NewReader(whole), &bytes.Buffer{}); err != nil {
-		t.Errorf("end between frames: %v", err)
+	complete := batch(1, openRecord(1, settingsText))
+	if err := Run(bytes.NewReader(complete), &bytes.Buffer{}); err != nil {
+		t.Errorf("input ending between frames: got error %v, want none", err)
 	}
-	err := Run(bytes.NewReader(whole[:len(whole)-3]), &bytes.Buffer{})
+	err := Run(bytes.NewReader(complete[:len(complete)-3]), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "cut off") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("end within a frame: %v", err)
+		t.Errorf("input ending within a frame: got error %v, want one line that contains \"cut off\"", err)
 	}
 }
--- a/internal/simulator/decoder_test.go
+++ b/internal/simulator/decoder_test.go
@@ -13,7 +13,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// eventRecorder writes down what a Handler is told.
+// eventRecorder is a Handler that records each event as text.
 type eventRecorder struct{ strings.Builder }
 
 func (n *eventRecorder) Open(i uint32, seed uint64, s []byte) {
@@ -43,7 +43,7 @@
 	return b
 }
 
-// frame puts a batch header before records.
+// frame returns a batch with a header and the records, which are given in hexadecimal.
 func frame(t testing.TB, records string) []byte {
 	t.Helper()
 	body := decodeHex(t, records)
@@ -65,7 +65,7 @@
 	}
 }
 
-// The examples printed in the protocol's description.
+// Checks the examples that the protocol's description prints.
 func TestProtocolExamplesAreDecoded(t *testing.T) {
 	const inbound = "0300 03000000 c4913a5d00660000 00 00000000 640ad2557c3bf091 b81e85eb51b8ce3f fa7e6abc7493883f 01"
 	for _, c := range []struct{ hex, want string }{
@@ -85,7 +85,7 @@
 	} {
 		got, err := decode(frame(t, c.hex))
 		if err != nil || got != c.want {
-			t.Errorf("%s: %q, %v; want %q", c.hex, got, err, c.want)
+			t.Errorf("records %s: decoded %q with error %v, want %q", c.hex, got, err, c.want)
 		}
 	}
 }
@@ -94,12 +94,12 @@
 	var p Reply
 	p.Reset()
 	if got := hex.EncodeToString(p.Bytes()); got != "0800000000000000" {
-		t.Fatalf("empty reply %s", got)
+		t.Fatalf("empty reply is %s, want a header with length 8 and no actions", got)
 	}
 	h, h5 := p.Host(3), p.Host(5)
 	for _, c := range []struct {
-		act  func()
-		want string
+		action func()
+		want   string
 	}{
 		{func() { h5.Log("two servers unknown") }, "0600 05000000 1300 74776f207365727665727320756e6b6e6f776e"},
 		{func() { p.Exception(3, "index out of range") }, "0100 03000000 1200 696e646578206f7574206f662072616e6765"},
@@ -112,16 +112,16 @@
 		{func() { h.SetTimer(8*time.Second, 77) }, "0a00 03000000 0000000000002040 4d00000000000000"},
 	} {
 		p.Reset()
-		c.act()
+		c.action()
 		want := decodeHex(t, c.want)
 		want = append([]byte{byte(len(want) + 8), 0, 0, 0, 1, 0, 0, 0}, want...)
 		if !bytes.Equal(p.Bytes(), want) {
-			t.Errorf("%x, want %x", p.Bytes(), want)
+			t.Errorf("reply frame %x, want %x", p.Bytes(), want)
 		}
 	}
 }
 
-// Frames that can't be read are told with the record and its place.
+// The error for a malformed frame names the record and its byte offset in the input.
 func TestMalformedFrameErrorNamesRecordAndOffset(t *testing.T) {
 	for _, c := range []struct {
 		frame []byte
@@ -140,7 +140,7 @@
 		{frame(t, "0500 03000000 c4913a5d00660000 63 8b6ce7fba9f1923f 00 074a1203 01 00"), "unknown outcome 99"},
 	} {
 		if _, err := decode(c.frame); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("error %v, want %s", err, c.want)
+			t.Errorf("got error %v, want one that contains %s", err, c.want)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 		first, err := decode(b)
 		again, err2 := decode(b)
 		if first != again || (err == nil) != (err2 == nil) {
-			t.Fatal("the same bytes were read in two ways")
+			t.Fatal("decoding the same bytes twice gave different events or errors")
 		}
 	})
 }
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -8,7 +8,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// Codes of actions.
+// Codes of the actions in a reply.
 const (
 	actionException = iota + 1
 	actionReject
@@ -24,7 +24,7 @@
 	actionFail
 )
 
-// Reply collects the actions that answer one batch.
+// Reply collects the actions that the balancers take in response to one batch.
 type Reply struct {
 	buffer []byte
 	count  uint32
@@ -35,7 +35,7 @@
 	p.buffer, p.count = append(p.buffer[:0], make([]byte, replyHeaderBytes)...), 0
 }
 
-// Bytes returns the finished frame.
+// Bytes writes the length and the number of actions into the header and returns the complete frame.
 func (p *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(p.buffer, uint32(len(p.buffer)))
 	binary.LittleEndian.PutUint32(p.buffer[4:], p.count)
@@ -48,24 +48,26 @@
 	p.u64(math.Float64bits(d.Seconds()))
 }
 
-func (p *Reply) beginAction(code uint16, inst uint32) {
+func (p *Reply) beginAction(code uint16, instance uint32) {
 	p.count++
 	p.buffer = binary.LittleEndian.AppendUint16(p.buffer, code)
-	p.u32(inst)
+	p.u32(instance)
 }
 
-func (p *Reply) appendText(code uint16, inst uint32, text string) {
+func (p *Reply) appendText(code uint16, instance uint32, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
-	p.beginAction(code, inst)
+	p.beginAction(code, instance)
 	p.buffer = binary.LittleEndian.AppendUint16(p.buffer, uint16(len(text)))
 	p.buffer = append(p.buffer, text...)
 }
 
-// Exception reports that an instance's policy has failed.
-func (p *Reply) Exception(inst uint32, text string) { p.appendText(actionException, inst, text) }
+// Exception reports that the policy of an instance has failed: its settings are invalid, or it panicked.
+func (p *Reply) Exception(instance uint32, text string) {
+	p.appendText(actionException, instance, text)
+}
 
 // Host returns the lbpolicy.Host that writes an instance's actions into the reply.
-func (p *Reply) Host(inst uint32) lbpolicy.Host { return host{p, inst} }
+func (p *Reply) Host(instance uint32) lbpolicy.Host { return host{p, instance} }
 
 type host struct {
 	*Reply
@@ -76,7 +78,7 @@
 	h.beginAction(actionSend, h.instance)
 	h.u64(uint64(id))
 	h.u32(uint32(s))
-	h.time(0) // no limit but the client's
+	h.time(0) // the attempt has no timeout besides the client's deadline
 }
 
 func (h host) Reject(id lbpolicy.RequestID, retryAfter time.Duration) {
@@ -114,13 +116,13 @@
 
 func (h host) Log(text string) { h.appendText(actionLog, h.instance, text) }
 
-// ServerProgress implements lbpolicy.Host: the simulator reports outcomes as they come.
+// ServerProgress implements lbpolicy.Host. It is always zero, because the simulator reports each outcome as soon as the attempt ends.
 func (h host) ServerProgress(lbpolicy.ServerID) lbpolicy.ServerProgress {
 	return lbpolicy.ServerProgress{}
 }
 
-// WaitsSince implements lbpolicy.Host: the simulator sends attempts as they are decided on.
+// WaitsSince implements lbpolicy.Host. It is always zero, because the simulator sends each attempt at the time of the decision.
 func (h host) WaitsSince(lbpolicy.RequestID, int) time.Duration { return 0 }
 
-// Hedged implements lbpolicy.Host.
+// Hedged implements lbpolicy.Host. The simulator does not count hedged requests.
 func (h host) Hedged(lbpolicy.Hedge) {}
