--- a/internal/balancer/upstream/client.go
+++ b/internal/balancer/upstream/client.go
@@ -1,9 +1,9 @@
 // Package upstream sends attempts to endpoints and classifies their outcomes.
 //
-// It has its own connection pools, as http.Transport retries some requests by itself and dials more often than it is asked
-// to: here one attempt is one request on one connection. A Client owns all its connections and guards them with one mutex.
-// While connections are idle, a timer closes those that are not needed; a dial and the wait for an early response use
-// goroutines that end with their connection.
+// It has its own connection pools, because http.Transport retries some requests by itself and dials more often than it is asked to.
+// In this package, one attempt is one request on one connection. A Client owns all its connections and guards them with one mutex.
+// While connections are idle, a timer closes those that are no longer needed. A dial and the wait for an early response use goroutines
+// that end with their connection.
 package upstream
 
 import (
@@ -17,51 +17,53 @@
 	"silvertrail/internal/balancer/quota"
 )
 
-// Request is what is sent to an endpoint, the same with each attempt.
+// Request is a request to an endpoint. All attempts send the same request.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header // end-to-end headers
 	Body                 []byte
 	Stream               RequestStream // the rest of the body; nil: there is none
 	Deadline             time.Time
-	TimeLeft             time.Duration // once the rest of the body has arrived
+	TimeLeft             time.Duration // time left for the response once the rest of a streamed body has arrived
 }
 
 // Options configure a client.
 type Options struct {
 	DialTimeout time.Duration
-	// Dial opens connections, each within DialTimeout by its context; nil: over TCP.
+	// Dial opens a connection. Its context expires after DialTimeout. nil: connections are opened over TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// IdleTimeout is how long a connection may have been idle to be reused: shorter than endpoints keep it, or a request would be
-	// written to it in vain.
+	// IdleTimeout is how long a connection may have been idle to be reused. It must be shorter than the time after which endpoints
+	// close idle connections; otherwise requests are written to connections that are being closed.
 	IdleTimeout time.Duration
-	// SettleTime is how long a connection is not reused after a response if another one is available: what an endpoint writes
-	// late, after a response, would be taken for the response to the next request. Zero: it is reused at once.
+	// SettleTime is how long a connection is not reused after a response, if another connection is available. Bytes that an endpoint
+	// writes late, after its response, would be taken for the response to the next request. Zero: connections are reused at once.
 	SettleTime time.Duration
-	// HedgeDials opens a second connection where the first one is late, see dial.go.
+	// HedgeDials starts a second dial when the first one is late, see dial.go.
 	HedgeDials bool
 	MaxConns   int
-	// Allocation is the client's part of the process's connections; nil: MaxConns alone is the bound.
+	// Allocation is this client's share of the process's connections; nil: only MaxConns limits them.
 	Allocation *quota.Allocation
-	// OnExhausted is called where the process has no descriptor for a connection, to have others close theirs; nil: nobody can.
+	// OnExhausted is called when the process has no file descriptor left for a connection, so that other holders of descriptors close
+	// idle ones; nil: there are no other holders.
 	OnExhausted func()
-	// OnSent is called for each request that was written completely; nil: nobody counts them. It must not block.
+	// OnSent is called for each request that was written completely. It must not block. nil: no call is made.
 	OnSent func()
-	// MaxStreamBytes bounds responses that are streamed. Up to 64 KiB all responses are buffered.
+	// MaxStreamBytes limits the body size of streamed responses. With a limit of up to 64 KiB, no response is streamed: all are
+	// buffered.
 	MaxStreamBytes int64
-	// AnyStatus takes every response that an endpoint means for the client as success (2xx, 3xx, and 4xx except 408 and 429).
-	// Without it only 200 is.
+	// AnyStatus treats every response that an endpoint means for the client as a success (2xx, 3xx, and 4xx except 408 and 429).
+	// Without AnyStatus, only a response with status 200 is a success.
 	AnyStatus bool
 }
 
-// Client holds what the pools of all endpoints share. It is safe for concurrent use.
+// Client holds the state and limits that the pools of all endpoints share. It is safe for concurrent use.
 type Client struct {
 	Options
 
-	mu        sync.Mutex // guards the fields below, the options that can be set, and all pools
+	mu        sync.Mutex // guards the fields below, the options that have setters, and all pools
 	idle      idleLimit
 	dials     dialHedging
-	openConns int // also those that are being opened
+	openConns int // including those that are being opened
 	pools     map[*Pool]struct{}
 	sweeping  bool // a sweep is scheduled
 }
@@ -69,7 +71,7 @@
 // sweepInterval is how often idle connections are checked.
 const sweepInterval = 500 * time.Millisecond
 
-// NewClient returns a client. The memory for responses is bounded by the connections: 64 KiB for each.
+// NewClient returns a client. The memory for responses is limited by the number of connections: 64 KiB for each connection.
 func NewClient(o Options) *Client {
 	return &Client{
 		Options: o,
@@ -86,7 +88,8 @@
 	c.DialTimeout = d
 }
 
-// SetMaxConns sets the bound on connections. Idle ones beyond it are closed; those in use end with their attempts.
+// SetMaxConns sets the limit on connections. Idle connections above the limit are closed at once; connections in use are kept until
+// their attempts end.
 func (c *Client) SetMaxConns(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,8 +121,8 @@
 	return p
 }
 
-// closeOldestIdle closes the connection that has been idle longest, of any endpoint, and reports whether there was one. The caller
-// holds the lock.
+// closeOldestIdle closes the connection that has been idle longest, to any endpoint, and reports whether there was an idle
+// connection. The caller holds the lock.
 func (c *Client) closeOldestIdle() bool {
 	var from *Pool
 	for p := range c.pools {
@@ -136,8 +139,8 @@
 	return true
 }
 
-// sweep closes the connections that have been idle too long, that the endpoint has closed, or on which something unexpected has
-// arrived. It is scheduled again while there are idle connections.
+// sweep closes idle connections that have exceeded the idle limit, that the endpoint has closed, or on which unexpected bytes have
+// arrived. It schedules the next sweep while there are idle connections.
 func (c *Client) sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +161,7 @@
 	}
 }
 
-// scheduleSweep schedules a sweep, unless one is. The caller holds the lock.
+// scheduleSweep schedules a sweep, unless one is already scheduled. The caller holds the lock.
 func (c *Client) scheduleSweep() {
 	if !c.sweeping {
 		c.sweeping = true
--- a/internal/balancer/upstream/conn.go
+++ b/internal/balancer/upstream/conn.go
@@ -13,19 +13,19 @@
 	"silvertrail/internal/base/timeout"
 )
 
-// errMalformed marks a response that is not valid HTTP. The request may have run, and the endpoint has not failed.
-var errMalformed = errors.New("spoilt answer")
+// errMalformed marks a response that is not valid HTTP or exceeds a limit. The request may have run, and the endpoint still responds.
+var errMalformed = errors.New("malformed response")
 
 // Response is an endpoint's response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stream is the rest of the body, after Body, that has not arrived yet; nil: there is none. It must be closed.
+	// Stream is the rest of the body, which follows Body and has not been read yet; nil: there is none. It must be closed.
 	Stream *ResponseStream
 }
 
-// readerBytes is the buffer size of a connection.
+// readerBytes is the size of a connection's read buffer.
 const readerBytes = 4 << 10
 
 // conn is one connection to an endpoint. It carries one attempt at a time.
@@ -33,15 +33,15 @@
 	net.Conn
 	raw           syscall.RawConn
 	reader        *bufio.Reader
-	idleSince     time.Time     // zero: not used yet
-	idleFor       time.Duration // before its present use
-	readDeadline  time.Time     // as set last; zero: none
-	readTimeout   time.Duration // of each read; 0: the read deadline applies
-	maxBody       int64         // of a response
-	earlyResponse chan error    // while a body is streamed: the result of waiting for the response
-	progress       *Receipt      // of its present attempt
+	idleSince     time.Time     // when it last became idle; zero: never
+	idleFor       time.Duration // time that it was idle before its present use
+	readDeadline  time.Time     // value set last; zero: none
+	readTimeout   time.Duration // timeout of each read; 0: the read deadline applies
+	maxBody       int64         // bytes of a response's body
+	earlyResponse chan error    // set while a request body is streamed: receives the result of waiting for the response
+	progress      *Receipt      // progress of its present attempt
 	readFD        func(fd uintptr) (done bool)
-	readBuffer    []byte // of the read in progress, and its result
+	readBuffer    []byte // destination of the read in progress; its result is in readBytes and readErr
 	readBytes     int
 	readErr       error
 }
@@ -55,8 +55,8 @@
 	return c, err
 }
 
-// Read implements net.Conn, with a timeout of each read where responses may take long as a whole. Where the deadline has passed while
-// this process stood still, what has arrived meanwhile is read all the same.
+// Read implements net.Conn. If readTimeout is set, the timeout applies to each read, because the whole response may take long. If the
+// deadline has passed while this process was paused, Read tries once more, so that bytes that arrived during the pause are still read.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.readTimeout > 0 {
 		c.setReadDeadline(time.Now().Add(c.readTimeout))
@@ -69,8 +69,8 @@
 	return n, err
 }
 
-// receive waits for bytes and reads them. The receipt of the attempt says so before they are taken from the socket: there is no
-// time in which they are neither there nor here.
+// receive waits for bytes and reads them. The progress of the attempt is marked as reading before the bytes are taken from the socket,
+// so that at no time are the bytes missing from both the socket and the attempt's progress.
 func (c *conn) receive(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -89,7 +89,7 @@
 	return c.readBytes, nil
 }
 
-// tryRead reads what has arrived, and reports whether there was anything or the connection has ended.
+// tryRead reads the bytes that have arrived. It reports false if there are none and the connection is still open.
 func (c *conn) tryRead(fd uintptr) (done bool) {
 	c.progress.isReading.Store(true)
 	for {
@@ -106,21 +106,21 @@
 	return true
 }
 
-// isClean reports whether nothing has arrived on an idle connection: no byte and no end. What has arrived before a request
-// is written is not the response to it. This protects against duplicate, late and unexpected responses, and against
-// connections that the endpoint has closed, but not against what arrives after the check.
+// isClean reports whether an idle connection is open and no byte has arrived on it. Bytes that arrive before a request is written
+// are not the response to that request. The check protects against duplicate, late and unexpected responses, and against connections
+// that the endpoint has closed, but not against bytes that arrive after the check.
 func (c *conn) isClean() bool {
-	nothing := false
+	isEmpty := false
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+		isEmpty = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 	})
-	return err == nil && nothing && c.reader.Buffered() == 0
+	return err == nil && isEmpty && c.reader.Buffered() == 0
 }
 
-// resetAfterStream prepares a connection for reuse after a streamed response. It cannot be reused if more than the response
-// has arrived, as nobody can tell where the next one would begin.
+// resetAfterStream prepares a connection for reuse after a streamed response, and reports whether it can be reused. If bytes beyond
+// the response have arrived, it cannot: the start of the next response would be unknown.
 func (c *conn) resetAfterStream() bool {
 	c.readTimeout = 0
 	c.setReadDeadline(time.Time{})
--- a/internal/balancer/upstream/dial.go
+++ b/internal/balancer/upstream/dial.go
@@ -10,26 +10,26 @@
 )
 
 // A lost packet, a full accept queue or a middlebox delays some connections and not others. An attempt that has waited a
-// multiple of the usual time starts a second dial, and uses the connection that is established first (as RFC 8305 does
-// between addresses); the other one becomes idle. It is the same attempt: its request is written once. Where all
-// connections are slow because endpoints are overloaded, a budget limits second dials to a part of the first ones.
+// multiple of the typical dial time starts a second dial, and uses the connection that is established first (as RFC 8305 does
+// between addresses). The other connection becomes idle. Both dials belong to one attempt, whose request is written once. When all
+// connections are slow because endpoints are overloaded, a budget limits second dials to a fraction of the first dials.
 const (
-	minHedgeDelay      = 50 * time.Millisecond // within an installation, connections take a few milliseconds
-	hedgeDelayMultiple = 4                     // of the usual time
+	minHedgeDelay      = 50 * time.Millisecond // connections within an installation take a few milliseconds
+	hedgeDelayMultiple = 4                     // multiple of the typical dial time
 	hedgeBudgetRatio   = 0.5                   // second dials per first dial
-	maxHedgeBudget     = 4.0                   // second dials that can be saved up
+	maxHedgeBudget     = 4.0                   // unused second dials that accumulate at most
 )
 
-// Weights of a dial in the usual time. Fast dials count for more.
+// Divisors of the difference by which one dial changes the typical dial time. Dials faster than the typical time weigh more.
 const (
 	fastDialDivider = 2
 	slowDialDivider = 20
 )
 
-// dialHedging decides when a dial is late, and whether a second one may be started.
+// dialHedging decides when a dial is late and a second dial is due, and holds the budget of second dials.
 type dialHedging struct {
-	typicalTime  time.Duration
-	budget float64
+	typicalTime time.Duration
+	budget      float64
 }
 
 func (h *dialHedging) recordDialTime(d time.Duration) {
@@ -47,13 +47,13 @@
 	return max(hedgeDelayMultiple*h.typicalTime, minHedgeDelay)
 }
 
-// dialResult is the end of one dial.
+// dialResult is the result of one dial.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// connect returns a new connection, for which a place is reserved. After an error the place is still the caller's.
+// connect opens a connection for which the caller has reserved a slot. If it returns an error, the caller still holds the slot.
 func (p *Pool) connect(ctx context.Context, pending *pendingDial) (net.Conn, error) {
 	dialCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	c := p.client
@@ -64,7 +64,7 @@
 	defer hedge.Stop()
 	started := time.Now()
 	first := p.startDial(dialCtx, pending)
-	var second chan dialResult // nil: not started, or ended
+	var second chan dialResult // nil: not started, or finished
 	var firstErr error
 	for {
 		var result dialResult
@@ -79,7 +79,7 @@
 				second = p.startDial(dialCtx, pending)
 			}
 			continue
-		case <-ctx.Done(): // the attempt was given up
+		case <-ctx.Done(): // the attempt was cancelled
 			cancel()
 			p.abandonDials(first, second)
 			return nil, ctx.Err()
@@ -100,14 +100,15 @@
 			cancel()
 			return nil, firstErr
 		}
-		// The other dial may still succeed; one place is not needed any more.
+		// The other dial may still succeed. It needs only one of the two slots.
 		c.mu.Lock()
 		p.releaseSlot()
 		c.mu.Unlock()
 	}
 }
 
-// startDial dials in a goroutine that ends within the dial timeout.
+// startDial dials in a goroutine. The goroutine ends within the dial timeout, plus descriptorWait if the process has no file
+// descriptor left.
 func (p *Pool) startDial(ctx context.Context, pending *pendingDial) chan dialResult {
 	done := make(chan dialResult, 1)
 	go func() {
@@ -117,7 +118,8 @@
 	return done
 }
 
-// abandonDials waits for the end of cancelled dials. The place of one of them is the caller's.
+// abandonDials waits for the end of one cancelled dial and closes its connection. The caller still holds the slot of this dial. If a
+// second dial is in progress, finishSpareDial releases its slot.
 func (p *Pool) abandonDials(first, second chan dialResult) {
 	remaining := first
 	switch {
@@ -137,7 +139,7 @@
 	p.client.dials.recordDialTime(d)
 }
 
-// reserveHedgeSlot reserves a place for a second dial, and reports whether one may be started.
+// reserveHedgeSlot reserves a slot for a second dial, and reports whether the second dial may be started.
 func (p *Pool) reserveHedgeSlot() bool {
 	c := p.client
 	c.mu.Lock()
@@ -149,8 +151,9 @@
 	return true
 }
 
-// finishSpareDial makes a connection idle that no attempt waits for any more. It ends within the dial timeout. Without a cancel
-// function the dial was cancelled, and its connection is closed.
+// finishSpareDial waits for a dial that no attempt needs any more, and makes its connection idle. cancel releases the context of the
+// dial. If cancel is nil, the dial was already cancelled and its connection is closed. Like startDial's goroutine, it ends within the
+// dial timeout, plus descriptorWait.
 func (p *Pool) finishSpareDial(dial chan dialResult, cancel context.CancelFunc) {
 	result := <-dial
 	if cancel != nil {
@@ -169,13 +172,14 @@
 }
 
 const (
-	// descriptorWait is how long an attempt waits for a descriptor where the process has none: clients' connections that were just
-	// accepted, and must not be closed yet, may bring a request by then.
+	// descriptorWait is how long an attempt waits for a file descriptor when the process has none left. Client connections that were
+	// just accepted must not be closed yet, because they may bring a request within this time.
 	descriptorWait       = 500 * time.Millisecond
 	descriptorRetryDelay = 10 * time.Millisecond
 )
 
-// dial opens a connection. Where there is no descriptor, idle connections are closed for it: a request in progress comes first.
+// dial opens a connection. If the process has no file descriptor left, idle connections are closed to free one, because a request in
+// progress has priority over idle connections.
 func (p *Pool) dial(ctx context.Context, pending *pendingDial) (net.Conn, error) {
 	p.client.mu.Lock()
 	timeout, dial := p.client.DialTimeout, p.client.Dial
@@ -202,7 +206,7 @@
 	return conn, err
 }
 
-// freeDescriptor closes an idle connection, and has others close theirs.
+// freeDescriptor closes the oldest idle connection, and asks other holders of descriptors to close idle ones.
 func (p *Pool) freeDescriptor() {
 	p.client.mu.Lock()
 	p.client.closeOldestIdle()
--- a/internal/balancer/upstream/dial_test.go
+++ b/internal/balancer/upstream/dial_test.go
@@ -17,7 +17,7 @@
 
 type controlledDial struct {
 	proceed chan error
-	ended chan struct{} // closed when it has ended
+	ended   chan struct{} // closed when it has ended
 }
 
 func (d *controlledDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -41,8 +41,8 @@
 }
 
 type attemptResult struct {
-	verdict    lbpolicy.Verdict
-	body string
+	verdict lbpolicy.Verdict
+	body    string
 }
 
 func startRequest(ctx context.Context, p *Pool, id string) chan attemptResult {
@@ -110,7 +110,10 @@
 			f.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"given up": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) { give(); return lbpolicy.ConnectFailed, 0 },
+		"given up": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) {
+			give()
+			return lbpolicy.ConnectFailed, 0
+		},
 		"given up as the first fails": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) {
 			f.proceed <- refused
 			<-f.ended
--- a/internal/balancer/upstream/pool.go
+++ b/internal/balancer/upstream/pool.go
@@ -12,32 +12,33 @@
 	"silvertrail/lbpolicy"
 )
 
-// notProcessedHeader marks a response of an endpoint that has not executed the request.
+// notProcessedHeader marks the response of an endpoint that has not executed the request.
 const notProcessedHeader = "X-Not-Processed"
 
-// maxConnsDivider bounds the connections to one endpoint, so that one that hangs does not hold all.
+// maxConnsDivider limits the connections to one endpoint to a quarter of Options.MaxConns, so that an endpoint that hangs does not
+// hold all connections.
 const maxConnsDivider = 4
 
-// Pool holds the connections to one endpoint. When the address of an endpoint changes it gets a new pool.
+// Pool holds the connections to one endpoint. When the address of an endpoint changes, the endpoint gets a new pool.
 type Pool struct {
 	client    *Client
 	address   string
 	openConns int
-	idle      []*conn // the last used is last
+	idle      []*conn // ordered by the end of their last use
 	closed    bool
 }
 
-// Do sends the request once. Claim is called just before the first byte is written: if it returns false, nothing is
-// written. The response is not nil only if one was received, with the verdicts OK, Error, Rejected and ServerFull. When Do
-// returns, the attempt's connection is closed or idle, unless the response is streamed. The receipt tells others meanwhile whether
-// a response has arrived.
-func (p *Pool) Do(ctx context.Context, r *Request, receipt *Receipt, claim func() bool) (lbpolicy.Verdict, *Response, error) {
-	c, verdict, err := p.acquire(ctx, receipt)
+// Do sends the request once. It calls claim just before it writes the first byte; if claim returns false, nothing is written. The
+// response is nil unless a valid response was received, which is only possible with the verdicts OK, Error, Rejected and ServerFull.
+// When Do returns, the attempt's connection is closed or idle, unless the response is streamed. While Do runs, other goroutines can
+// read from progress whether a response has arrived.
+func (p *Pool) Do(ctx context.Context, r *Request, progress *Receipt, claim func() bool) (lbpolicy.Verdict, *Response, error) {
+	c, verdict, err := p.acquire(ctx, progress)
 	if c == nil {
 		return verdict, nil, err
 	}
-	c.progress = receipt
-	receipt.conn.Store(c)
+	c.progress = progress
+	progress.conn.Store(c)
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	started := time.Now()
 	o := p.attempt(c, r, claim)
@@ -57,11 +58,11 @@
 	return o.verdict, o.response, o.err
 }
 
-// outcome is the end of an attempt.
+// outcome is the result of an attempt.
 type outcome struct {
 	verdict  lbpolicy.Verdict
 	response *Response
-	reusable bool // the connection
+	reusable bool // the connection can be reused
 	err      error
 }
 
@@ -79,7 +80,7 @@
 	case errors.Is(err, errRequestBody):
 		return outcome{verdict: lbpolicy.NotSent, err: err}
 	case !complete && !errors.Is(err, errEarlyResponse):
-		return outcome{verdict: lbpolicy.ConnectFailed, err: errors.New("broken before the request was written")}
+		return outcome{verdict: lbpolicy.ConnectFailed, err: errors.New("connection broke before the request was written")}
 	}
 	if complete && p.client.OnSent != nil {
 		p.client.OnSent()
@@ -95,15 +96,15 @@
 	return o
 }
 
-// readErrorOutcome returns the outcome of an attempt without a valid response.
+// readErrorOutcome returns the outcome of an attempt whose response could not be read or is not valid.
 func readErrorOutcome(c *conn, requestComplete bool, err error) outcome {
 	switch {
-	case errors.Is(err, errMalformed): // the endpoint has responded: neither its connections nor its process have failed
+	case errors.Is(err, errMalformed): // the endpoint has responded, so neither its connection nor its process has failed
 		return outcome{verdict: lbpolicy.Error, err: err}
 	case !requestComplete:
 		return outcome{verdict: lbpolicy.ConnectFailed, err: err}
 	case !c.idleSince.IsZero():
-		err = fmt.Errorf("used again after %v: %w", c.idleFor.Round(time.Millisecond), err)
+		err = fmt.Errorf("connection reused after %v idle: %w", c.idleFor.Round(time.Millisecond), err)
 	}
 	return outcome{verdict: lbpolicy.Reset, err: err}
 }
@@ -135,15 +136,15 @@
 	return lbpolicy.Error
 }
 
-// acquire returns an idle connection or a new one. Without one, the verdict says why.
-func (p *Pool) acquire(ctx context.Context, receipt *Receipt) (*conn, lbpolicy.Verdict, error) {
+// acquire returns an idle connection or a new one. If the connection is nil, the verdict and the error say why.
+func (p *Pool) acquire(ctx context.Context, progress *Receipt) (*conn, lbpolicy.Verdict, error) {
 	for {
 		c, ok := p.takeIdleOrReserveSlot()
-		if c == nil && !ok { // this says nothing about the endpoint
-			return nil, lbpolicy.NotSent, errors.New("no descriptor to spare")
+		if c == nil && !ok { // NotSent, as the endpoint is not at fault
+			return nil, lbpolicy.NotSent, errors.New("connection limit reached and no idle connection available")
 		}
 		if c == nil {
-			return p.open(ctx, receipt)
+			return p.open(ctx, progress)
 		}
 		if c.isClean() {
 			return c, lbpolicy.OK, nil
@@ -152,11 +153,11 @@
 	}
 }
 
-// open opens a connection for which a place is reserved.
-func (p *Pool) open(ctx context.Context, receipt *Receipt) (*conn, lbpolicy.Verdict, error) {
+// open opens a connection for which a slot is reserved. If it fails, it releases the slot.
+func (p *Pool) open(ctx context.Context, progress *Receipt) (*conn, lbpolicy.Verdict, error) {
 	dial := &pendingDial{startedAt: time.Now()}
-	receipt.dial.Store(dial)
-	defer receipt.dial.Store(nil)
+	progress.dial.Store(dial)
+	defer progress.dial.Store(nil)
 	netConn, err := p.connect(ctx, dial)
 	var c *conn
 	if err == nil {
@@ -170,14 +171,15 @@
 	p.client.mu.Lock()
 	p.releaseSlot()
 	p.client.mu.Unlock()
-	if exhaustion.Is(err) { // this says nothing about the endpoint
+	if exhaustion.Is(err) { // NotSent, as this process lacks resources and the endpoint is not at fault
 		return nil, lbpolicy.NotSent, err
 	}
 	return nil, lbpolicy.ConnectFailed, err
 }
 
-// takeIdleOrReserveSlot takes the idle connection that was used last and has settled, or a place for a new one; ok is false if there is
-// neither. Idle connections to other endpoints are closed for it.
+// takeIdleOrReserveSlot takes the most recently used connection that has been idle for at least SettleTime, or reserves a slot for a
+// new connection. The oldest idle connection of any pool may be closed to free a slot. Without a slot, an idle connection that has
+// not settled is taken. ok is false if none of these is available.
 func (p *Pool) takeIdleOrReserveSlot() (c *conn, ok bool) {
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
@@ -196,7 +198,7 @@
 	if p.reserveSlot() {
 		return nil, true
 	}
-	if len(p.idle) > 0 { // a connection that has not settled is better than none
+	if len(p.idle) > 0 { // reuse before SettleTime is better than a failed request
 		c := p.idle[0]
 		p.idle = slices.Delete(p.idle, 0, 1)
 		return c, true
@@ -204,7 +206,7 @@
 	return nil, false
 }
 
-// reserveSlot reserves a place for a new connection, and reports whether there was one. The caller holds the lock.
+// reserveSlot reserves a slot for a new connection, and reports whether one was available. The caller holds the lock.
 func (p *Pool) reserveSlot() bool {
 	c := p.client
 	if p.openConns >= max(c.MaxConns/maxConnsDivider, 1) {
@@ -221,7 +223,7 @@
 	return true
 }
 
-// releaseSlot releases the place of a connection. The caller holds the lock.
+// releaseSlot releases the slot of a connection. The caller holds the lock.
 func (p *Pool) releaseSlot() {
 	p.openConns--
 	p.client.openConns--
@@ -230,13 +232,15 @@
 	}
 }
 
-// discard closes a connection that is not in use or idle. The caller holds the lock.
+// discard closes a connection and releases its slot. The connection must not be in use or in the idle list. The caller holds the
+// lock.
 func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.releaseSlot()
 }
 
-// release ends a connection's use: it is idle from now on, or is closed.
+// release ends an attempt's use of a connection. The connection becomes idle if it is reusable and the pool is open; otherwise it is
+// closed.
 func (p *Pool) release(c *conn, reusable bool) {
 	p.client.mu.Lock()
 	defer p.client.mu.Unlock()
--- a/internal/balancer/upstream/read.go
+++ b/internal/balancer/upstream/read.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	maxHeadBytes     = 16 << 10 // of a response's head, and of its trailers
-	maxBufferedBytes = 64 << 10 // of a response's body: the protocol's limit
+	maxHeadBytes     = 16 << 10 // of a response's head; request buffers above this size are not pooled
+	maxBufferedBytes = 64 << 10 // of a response's body; the protocol's limit for buffered bodies
 	maxInformational = 8        // 1xx responses before the final one
-	// maxStall is how long a response that has begun may deliver nothing. The endpoint has all of it by then, so one that
-	// stalls is malformed: a head without end, a wrong length, noise without a line end. The time saved is the request's next
-	// attempt. Where responses are streamed (Options.MaxStreamBytes) it is a time without any byte, else one for the whole
-	// response: small responses of healthy endpoints arrive at once.
+	// maxStall is the longest stall timeout: how long a response that has begun may deliver no bytes. An endpoint has produced the
+	// whole response when it begins to send, so a response that stalls is malformed: a head without an end, a wrong length, or noise
+	// without a line end. Ending the attempt early leaves time for the next attempt. Where responses are streamed
+	// (Options.MaxStreamBytes), the timeout applies to each read. Otherwise it applies to the whole response, because small responses
+	// of healthy endpoints arrive at once.
 	maxStall = 750 * time.Millisecond
-	// A request with little time has less for that: the rest is its next attempt's.
-	stallDivider = 4 // of what is left when the request is written
+	// A request with little time left gets a shorter stall timeout, so that time remains for its next attempt.
+	stallDivider = 4 // divides the time left when the request is written
 	minStall     = 100 * time.Millisecond
 )
 
-// readResponse reads a response, and reports whether the connection can be reused. An error is errMalformed, or the connection's.
-// Bodiless means that no body follows the head, whatever that says, as in a response to HEAD. Left is the time that the
-// request had left when it was written.
-func (c *conn) readResponse(bodiless bool, left time.Duration) (response *Response, reusable bool, err error) {
-	timeout := stallTimeout(left)
+// readResponse reads the final response, and reports whether the connection can be reused. An error wraps errMalformed or comes from
+// the connection. bodiless means that no body follows the head, whatever length the head gives, as in a response to HEAD. timeLeft is
+// the time that the request had left when it was written.
+func (c *conn) readResponse(bodiless bool, timeLeft time.Duration) (response *Response, reusable bool, err error) {
+	timeout := stallTimeout(timeLeft)
 	for range maxInformational {
 		if err := c.awaitFirstByte(); err != nil {
 			return nil, false, err
@@ -46,18 +47,18 @@
 		}
 		response, reusable, err = c.readOneResponse(bodiless)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			err = fmt.Errorf("%w: stalled", errMalformed)
+			err = fmt.Errorf("%w: stalled before it was complete", errMalformed)
 		}
 		if err != nil || response.Status >= 200 || response.Status == http.StatusSwitchingProtocols {
 			return response, reusable, err
 		}
 	}
-	return nil, false, fmt.Errorf("%w: too many interim answers", errMalformed)
+	return nil, false, fmt.Errorf("%w: too many informational (1xx) responses", errMalformed)
 }
 
-// awaitFirstByte waits for a response without a deadline: the end of the attempt closes the connection.
+// awaitFirstByte waits for a response. It sets no deadline, because the end of the attempt closes the connection.
 func (c *conn) awaitFirstByte() error {
-	if early := c.earlyResponse; early != nil { // it was waited for while the body was streamed
+	if early := c.earlyResponse; early != nil { // streamWriter.awaitResponse already waits for the response
 		err := <-early
 		c.readTimeout = 0
 		c.SetWriteDeadline(time.Time{})
@@ -70,13 +71,13 @@
 	return err
 }
 
-// stallTimeout returns how long a response that has begun may deliver nothing.
-func stallTimeout(left time.Duration) time.Duration {
-	return min(max(left/stallDivider, minStall), maxStall)
+// stallTimeout returns how long a response that has begun may deliver no bytes.
+func stallTimeout(timeLeft time.Duration) time.Duration {
+	return min(max(timeLeft/stallDivider, minStall), maxStall)
 }
 
-// hasCompleteResponse reports whether a whole response with a length is in the buffer, as small ones mostly are: then nothing is waited
-// for. In doubt it is false.
+// hasCompleteResponse reports whether the buffer holds a complete response with a Content-Length, as it usually does for small
+// responses. Reading such a response does not wait, so it needs no deadline. The result is false in doubt.
 func (c *conn) hasCompleteResponse() bool {
 	const field = "\r\n" + contentLengthHeader + ": "
 	text, _ := c.reader.Peek(c.reader.Buffered())
@@ -84,12 +85,12 @@
 	if end < 0 {
 		return false
 	}
-	at := bytes.Index(text[:end], []byte(field))
-	if at < 0 {
+	start := bytes.Index(text[:end], []byte(field))
+	if start < 0 {
 		return false
 	}
 	length := 0
-	for _, digit := range text[at+len(field) : end] {
+	for _, digit := range text[start+len(field) : end] {
 		if digit < '0' || digit > '9' || length > maxBufferedBytes {
 			break
 		}
@@ -98,7 +99,7 @@
 	return length <= len(text)-end
 }
 
-// readOneResponse reads one response of any status.
+// readOneResponse reads one response of any status, informational or final.
 func (c *conn) readOneResponse(bodiless bool) (response *Response, reusable bool, err error) {
 	text, err := c.readHead()
 	if err != nil {
@@ -122,7 +123,7 @@
 		reusable = reusable && isDelimited
 	}
 	if response.Stream == nil && status >= 200 && c.reader.Buffered() > 0 {
-		reusable = false // more than the response: nobody can tell where the next one would begin
+		reusable = false // bytes beyond the response have arrived: the start of the next response would be unknown
 	}
 	return response, reusable, nil
 }
@@ -134,7 +135,7 @@
 	status, err = strconv.Atoi(code)
 	validProtocol := protocol == "HTTP/1.1" || protocol == "HTTP/1.0"
 	if err != nil || len(code) != 3 || status < 100 || !validProtocol {
-		return 0, false, fmt.Errorf("%w: status line %.40q", errMalformed, line)
+		return 0, false, fmt.Errorf("%w: invalid status line %.40q", errMalformed, line)
 	}
 	return status, protocol == "HTTP/1.1", nil
 }
@@ -144,11 +145,11 @@
 	return status >= 200 && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// readBody reads the body of a response, or the first part of one that is streamed. A body that is not delimited ends with the
-// connection.
+// readBody reads the body of a response, or the first part of a body that is streamed. A body that is not delimited by a length or
+// by chunks ends with the connection.
 func (c *conn) readBody(response *Response, head *httphead.Head, reusable bool) (isDelimited bool, err error) {
 	if head.ContentLength > c.maxBody {
-		return true, fmt.Errorf("%w: %d bytes", errMalformed, head.ContentLength)
+		return true, fmt.Errorf("%w: body of %d bytes exceeds the limit", errMalformed, head.ContentLength)
 	}
 	isDelimited = head.Chunked || head.ContentLength >= 0
 	stream := &ResponseStream{
@@ -168,7 +169,7 @@
 	return isDelimited, err
 }
 
-// readHead reads a head up to its empty line.
+// readHead reads the head of a response, including the empty line that ends it.
 func (c *conn) readHead() ([]byte, error) {
 	var text []byte
 	for {
@@ -178,7 +179,7 @@
 		case err != nil && !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
 		case len(text) > maxHeadBytes:
-			return nil, fmt.Errorf("%w: a head of over %d bytes", errMalformed, maxHeadBytes)
+			return nil, fmt.Errorf("%w: head exceeds %d bytes", errMalformed, maxHeadBytes)
 		case err == nil && len(bytes.TrimRight(line, "\r\n")) == 0:
 			return text, nil
 		}
--- a/internal/balancer/upstream/stream.go
+++ b/internal/balancer/upstream/stream.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// bufferingTime is how long a response that arrives slowly, and may exceed the buffer, is buffered before it is streamed. Until then
-	// another attempt can take its place; from then on its client waits for nobody else.
+	// bufferingTime is how long a response that arrives slowly, and may exceed the buffer, is buffered before it is streamed. Until
+	// then the response of another attempt can be used instead; from then on the client gets this one.
 	bufferingTime = 250 * time.Millisecond
-	// streamReadTimeout is how long a streamed response may deliver nothing: it cannot be requested again.
+	// streamReadTimeout is how long a streamed response may deliver no bytes. It is long, because the request cannot be retried once
+	// its response is streamed.
 	streamReadTimeout = 20 * time.Second
 	initialBodyBytes  = 2 << 10
 )
 
-// RequestStream is the part of a request's body that has not arrived yet. Only one attempt can acquire it, and no other attempt is
-// possible then.
+// RequestStream is the part of a request's body that has not arrived yet. Only one attempt can acquire it, and no further attempt is
+// possible after that.
 type RequestStream interface {
-	Length() int64 // of the whole body; -1: unknown
-	// Acquire reports whether nobody has acquired the stream before.
+	Length() int64 // bytes of the whole body; -1: unknown
+	// Acquire acquires the stream, and reports false if another attempt has acquired it before.
 	Acquire() bool
 	Read(p []byte) (n int, err error)
-	// IsComplete reports whether all was read.
+	// IsComplete reports whether the whole body was read.
 	IsComplete() bool
-	// Stop fails a Read in progress and those that follow.
+	// Stop makes a Read in progress, and all later calls of Read, fail.
 	Stop()
-	// ReceivedAt returns when the last byte reached this machine, once all was read.
+	// ReceivedAt returns when the last byte reached this machine. It is valid once the whole body was read.
 	ReceivedAt() time.Time
-	// MarkForwarded is called when the last byte was written to the endpoint.
+	// MarkForwarded is called after the last byte was written to the endpoint.
 	MarkForwarded()
 }
 
 // ResponseStream is the part of a response's body that is not buffered. It is used by one goroutine, and must be closed.
 type ResponseStream struct {
-	conn      *conn
-	length    int64 // of the whole body; -1: unknown
-	remaining int64 // of a known length
-	decoder   *chunked.Decoder
-	maxBytes  int64
-	received  int64
-	reusable  bool // the connection can be reused after it
-	complete  bool // all was read
-	bufferingDone     bool // the buffered part is complete: delays only affect the client from now on
-	delivered bool // the client has all of it
-	onRelease func(*ResponseStream)
-	onClose   func()
+	conn          *conn
+	length        int64 // bytes of the whole body; -1: unknown
+	remaining     int64 // bytes still to be read, if the length is known
+	decoder       *chunked.Decoder
+	maxBytes      int64
+	received      int64
+	reusable      bool // the connection can be reused after the stream
+	complete      bool // the whole body was read
+	bufferingDone bool // the buffered part is complete: delays only affect the client from now on
+	delivered     bool // the client has the whole body
+	onRelease     func(*ResponseStream)
+	onClose       func()
 }
 
 // Length returns the length of the whole body, or -1.
 func (s *ResponseStream) Length() int64 { return s.length }
 
-// readBuffered reads all of a small body, and the first part of a large or slow one.
+// readBuffered reads the whole of a small body, or the first part of a large or slow body.
 func (s *ResponseStream) readBuffered() ([]byte, error) {
 	started := time.Now()
 	body := make([]byte, 0, s.initialCapacity())
@@ -68,7 +69,7 @@
 			return body, nil
 		}
 		if len(body) > maxBufferedBytes {
-			return nil, fmt.Errorf("%w: over %d bytes", errMalformed, maxBufferedBytes)
+			return nil, fmt.Errorf("%w: body exceeds %d bytes", errMalformed, maxBufferedBytes)
 		}
 		body = grow(body)
 		n, err := s.read(body[len(body):cap(body)])
@@ -94,7 +95,8 @@
 	return s.complete || s.decoder == nil && s.remaining == 0 && s.length >= 0
 }
 
-// shouldStream reports whether the rest of a body is streamed: it exceeds the buffer, or may do so and arrives slowly.
+// shouldStream reports whether the rest of a body is streamed: the buffer is full, or the body may exceed the buffer and arrives
+// slowly.
 func (s *ResponseStream) shouldStream(buffered int, elapsed time.Duration) bool {
 	if s.maxBytes <= maxBufferedBytes {
 		return false
@@ -106,7 +108,7 @@
 	return buffered > 0 && mayExceed && elapsed >= bufferingTime
 }
 
-// grow doubles the capacity of a full buffer, up to one byte more than the bound.
+// grow doubles the capacity of a full buffer, up to maxBufferedBytes plus one byte.
 func grow(body []byte) []byte {
 	if len(body) < cap(body) {
 		return body
@@ -124,7 +126,7 @@
 	s.conn.readTimeout = streamReadTimeout
 	n, err := s.read(p)
 	if err == nil && s.received > s.maxBytes {
-		err = fmt.Errorf("%w: over %d bytes", errMalformed, s.maxBytes)
+		err = fmt.Errorf("%w: body exceeds %d bytes", errMalformed, s.maxBytes)
 	}
 	s.complete = errors.Is(err, io.EOF)
 	return n, err
@@ -169,7 +171,7 @@
 	return n, nil
 }
 
-// unexpectedEOF distinguishes the end of the connection from the end of a body.
+// unexpectedEOF replaces io.EOF from the connection by io.ErrUnexpectedEOF, because io.EOF marks the end of a complete body.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -180,7 +182,7 @@
 // MarkDelivered records that the client has the whole body.
 func (s *ResponseStream) MarkDelivered() { s.delivered = true }
 
-// IsDelivered reports whether the client has the whole body. It is known once the stream is closed.
+// IsDelivered reports whether the client has the whole body. The result is final once the stream is closed.
 func (s *ResponseStream) IsDelivered() bool { return s.delivered }
 
 // IsComplete reports whether the endpoint has sent the whole body.
@@ -189,7 +191,7 @@
 // OnClose sets a function that is called once the stream is closed and the connection is released.
 func (s *ResponseStream) OnClose(f func()) { s.onClose = f }
 
-// Close ends the reading, and releases the connection. A second call has no effect.
+// Close ends the reading and releases the connection. A second call has no effect.
 func (s *ResponseStream) Close() {
 	if s.onRelease == nil {
 		return
--- a/internal/balancer/upstream/write.go
+++ b/internal/balancer/upstream/write.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// maxSingleWrite is what an idle connection accepts at once: the system's buffer is empty, and larger.
+	// maxSingleWrite is the largest request that is written in one call without a deadline. An idle connection accepts it at once,
+	// because the system's send buffer is empty and larger.
 	maxSingleWrite = 4 << 10
-	writeTimeout   = time.Second // for a whole request, or the time that it has left
-	// streamWriteTimeout is how long an endpoint may accept nothing of a streamed body.
+	writeTimeout   = time.Second // for a whole request; less if the request has less time left
+	// streamWriteTimeout is how long an endpoint may accept no bytes of a streamed body.
 	streamWriteTimeout = 5 * time.Second
 	streamChunkBytes   = 16 << 10
 	requestBufferBytes = 2 << 10
@@ -26,10 +27,11 @@
 )
 
 var (
-	// errRequestBody means that the client has failed to send a streamed body. It says nothing about the endpoint.
-	errRequestBody = errors.New("the request's body did not come whole")
+	// errRequestBody means that a streamed body could not be read completely from the client, or is read by another attempt. The
+	// endpoint is not at fault.
+	errRequestBody = errors.New("request body incomplete")
 	// errEarlyResponse means that the response arrived, or the connection ended, before the body was complete.
-	errEarlyResponse = errors.New("answered before the request was whole")
+	errEarlyResponse = errors.New("response arrived or connection ended before the request body was complete")
 )
 
 var (
@@ -38,7 +40,7 @@
 )
 
 // writeRequest writes the request, and reports whether it was written completely. An endpoint cannot have started a request that
-// it did not receive completely. The error is errRequestBody if the client has failed to send the body.
+// it did not receive completely. The error wraps errRequestBody if the client has failed to send the body.
 func (c *conn) writeRequest(r *Request, timeout time.Duration) (complete bool, err error) {
 	pooled := requestBuffers.Get().(*[]byte)
 	head := appendHead((*pooled)[:0], r, timeout)
@@ -68,8 +70,8 @@
 	return written == size, nil
 }
 
-// appendHead appends the head of a request. The target is written byte for byte as the client sent it, or in the gateway's
-// normal form. Header values contain no line ends, as heads are parsed strictly.
+// appendHead appends the head of a request. The target is written byte for byte as the client sent it, or as the gateway has
+// normalized it. Header values contain no line ends, because heads are parsed strictly.
 func appendHead(b []byte, r *Request, timeout time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -115,12 +117,12 @@
 // The states of a streamWriter.
 const (
 	streaming int32 = iota
-	responded       // the response has arrived, or the connection has ended, first
-	completed       // the body was written first
+	responded       // the response arrived, or the connection ended, before the body was written
+	completed       // the body was written before a response arrived
 )
 
-// streamWriter writes a request whose body is still arriving. It waits for the response meanwhile: an endpoint that
-// responds before the body is complete gets no more of it.
+// streamWriter writes a request whose body is still arriving. While it writes, it also waits for the response: an endpoint that
+// responds before the body is complete gets no more of the body.
 type streamWriter struct {
 	conn    *conn
 	stream  RequestStream
@@ -128,7 +130,7 @@
 	state   atomic.Int32
 }
 
-// write writes the request, with the part of the body that has arrived.
+// write writes the head, the part of the body that has arrived, and the rest of the body as it arrives.
 func (w *streamWriter) write(head, body []byte) (complete bool, err error) {
 	w.extendDeadline()
 	if _, err := w.conn.Conn.Write(head); err != nil {
@@ -137,8 +139,8 @@
 	if err := w.writeChunk(body); err != nil {
 		return false, err
 	}
-	if !w.stream.Acquire() { // another attempt has read on
-		return false, fmt.Errorf("%w: it went to another attempt", errRequestBody)
+	if !w.stream.Acquire() { // another attempt reads the rest of the body
+		return false, fmt.Errorf("%w: the rest is read by another attempt", errRequestBody)
 	}
 	w.awaitResponse()
 	if err := w.copyBody(); err != nil {
@@ -152,14 +154,14 @@
 	return true, nil
 }
 
-// awaitResponse stops the writing once a response arrives.
+// awaitResponse starts a goroutine that stops the writing once a response arrives or the connection ends.
 func (w *streamWriter) awaitResponse() {
 	c := w.conn
 	c.readTimeout = 0
 	c.setReadDeadline(time.Time{})
 	response := make(chan error, 1)
 	c.earlyResponse = response
-	go func() { // ends with the connection, at the latest
+	go func() { // ends at the latest when the connection is closed
 		_, err := c.reader.Peek(1)
 		if w.state.CompareAndSwap(streaming, responded) {
 			w.stream.Stop()
