--- a/internal/balancer/upstream/dial.go
+++ b/internal/balancer/upstream/dial.go
@@ -173,7 +173,7 @@
 
 const (
 	// descriptorWait is how long an attempt waits for a file descriptor when the process has none left. Client connections that were
-	// just accepted must not be closed yet, because they may bring a request within this time.
+	// just accepted must not be closed before their first request, which may arrive within this time.
 	descriptorWait       = 500 * time.Millisecond
 	descriptorRetryDelay = 10 * time.Millisecond
 )
--- a/internal/balancer/upstream/dial_test.go
+++ b/internal/balancer/upstream/dial_test.go
@@ -12,20 +12,21 @@
 	"silvertrail/lbpolicy"
 )
 
-// controlledDialer has the test decide when each connection comes up, and whether.
+// controlledDialer lets a test decide when each dial ends, and whether it succeeds.
 type controlledDialer struct{ started chan *controlledDial }
 
+// controlledDial is one dial of a controlledDialer. A nil error on proceed lets it connect; another error makes it fail.
 type controlledDial struct {
 	proceed chan error
-	ended   chan struct{} // closed when it has ended
+	ended   chan struct{} // closed when the dial has ended
 }
 
 func (d *controlledDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	one := &controlledDial{make(chan error, 1), make(chan struct{})}
-	d.started <- one
-	defer close(one.ended)
+	dial := &controlledDial{make(chan error, 1), make(chan struct{})}
+	d.started <- dial
+	defer close(dial.ended)
 	select {
-	case err := <-one.proceed:
+	case err := <-dial.proceed:
 		if err != nil {
 			return nil, err
 		}
@@ -35,9 +36,10 @@
 	}
 }
 
-func newControlledClient(again bool) (*controlledDialer, *Client) {
+// newControlledClient returns a client whose dials are decided by the returned dialer. hedge sets Options.HedgeDials.
+func newControlledClient(hedge bool) (*controlledDialer, *Client) {
 	d := &controlledDialer{make(chan *controlledDial, 8)}
-	return d, NewClient(Options{DialTimeout: 2 * lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: 64, HedgeDials: again, Dial: d.dial})
+	return d, NewClient(Options{DialTimeout: 2 * lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: 64, HedgeDials: hedge, Dial: d.dial})
 }
 
 type attemptResult struct {
@@ -45,33 +47,34 @@
 	body    string
 }
 
+// startRequest sends a request in a goroutine of its own, and returns a channel that receives the result.
 func startRequest(ctx context.Context, p *Pool, id string) chan attemptResult {
-	came := make(chan attemptResult, 1)
+	results := make(chan attemptResult, 1)
 	go func() {
-		v, a, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
-		if a == nil {
-			a = &Response{}
+		verdict, response, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
+		if response == nil {
+			response = &Response{}
 		}
-		came <- attemptResult{v, string(a.Body)}
+		results <- attemptResult{verdict, string(response.Body)}
 	}()
-	return came
+	return results
 }
 
-// A connection that is late holds an attempt up no longer than a second one takes. The request is written once; the late
-// connection stands idle, and is used by the next.
+// A late dial delays an attempt only until a second dial has connected. The request is written once. The connection of the late dial
+// becomes idle, and is used by the next request.
 func TestLateDialIsHedged(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
+	var received atomic.Int64
+	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { received.Add(1); a.OK() })
 	d, c := newControlledClient(true)
 	p := c.Pool(e.Addr)
 	defer p.Close()
-	came := startRequest(t.Context(), p, "one")
+	results := startRequest(t.Context(), p, "one")
 	first := <-d.started
-	second := <-d.started // the first is late
+	second := <-d.started // starts because the first dial is late
 	second.proceed <- nil
-	if r := <-came; r.verdict != lbpolicy.OK || r.body != "answer to one" {
-		t.Fatalf("got %+v", r)
+	if r := <-results; r.verdict != lbpolicy.OK || r.body != "answer to one" {
+		t.Fatalf("first request: got %+v, want a successful response", r)
 	}
 	first.proceed <- nil
 	lbtest.Until(t, "two idle connections", func() bool {
@@ -80,50 +83,51 @@
 		return len(p.idle) == 2 && p.openConns == 2 && c.openConns == 2
 	})
 	if r := <-startRequest(t.Context(), p, "two"); r.verdict != lbpolicy.OK || len(d.started) > 0 {
-		t.Errorf("got %+v, %d more connections begun", r, len(d.started))
+		t.Errorf("second request: got %+v and %d more dials, want a successful response and no dial", r, len(d.started))
 	}
-	if n := got.Load(); n != 2 {
-		t.Errorf("%d requests at the endpoint", n)
+	if n := received.Load(); n != 2 {
+		t.Errorf("endpoint received %d requests, want 2", n)
 	}
 }
 
-// All ends of two connections give their places back, and the attempt has the end that is true of both.
+// However two dials of one attempt end, the slots without a connection are released. The attempt fails to connect only if both dials
+// fail or the attempt is cancelled.
 func TestHedgedDialReleasesUnusedSlots(t *testing.T) {
 	t.Parallel()
-	refused := errors.New("refused")
+	errRefused := errors.New("refused")
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	for name, end := range map[string]func(first, second *controlledDial, give func()) (want lbpolicy.Verdict, open int){
-		"both fail": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
-			f.proceed <- refused
-			s.proceed <- refused
+	for name, end := range map[string]func(first, second *controlledDial, cancel func()) (want lbpolicy.Verdict, openConns int){
+		"both fail": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			first.proceed <- errRefused
+			second.proceed <- errRefused
 			return lbpolicy.ConnectFailed, 0
 		},
-		"the first fails": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
-			f.proceed <- refused
-			<-f.ended
-			s.proceed <- nil
+		"the first fails": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			first.proceed <- errRefused
+			<-first.ended
+			second.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"the second fails": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
-			s.proceed <- refused
-			<-s.ended
-			f.proceed <- nil
+		"the second fails": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			second.proceed <- errRefused
+			<-second.ended
+			first.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"given up": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) {
-			give()
+		"attempt cancelled": func(first, second *controlledDial, cancel func()) (lbpolicy.Verdict, int) {
+			cancel()
 			return lbpolicy.ConnectFailed, 0
 		},
-		"given up as the first fails": func(f, s *controlledDial, give func()) (lbpolicy.Verdict, int) {
-			f.proceed <- refused
-			<-f.ended
-			give()
+		"attempt cancelled after the first fails": func(first, second *controlledDial, cancel func()) (lbpolicy.Verdict, int) {
+			first.proceed <- errRefused
+			<-first.ended
+			cancel()
 			return lbpolicy.ConnectFailed, 0
 		},
-		"the late one fails after it": func(f, s *controlledDial, _ func()) (lbpolicy.Verdict, int) {
-			s.proceed <- nil
-			<-s.ended
-			f.proceed <- refused
+		"the first fails after the second connects": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			second.proceed <- nil
+			<-second.ended
+			first.proceed <- errRefused
 			return lbpolicy.OK, 1
 		},
 	} {
@@ -132,51 +136,52 @@
 			d, c := newControlledClient(true)
 			p := c.Pool(e.Addr)
 			defer p.Close()
-			ctx, give := context.WithCancel(t.Context())
-			defer give()
-			came := startRequest(ctx, p, "one")
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			results := startRequest(ctx, p, "one")
 			first, second := <-d.started, <-d.started
-			want, open := end(first, second, give)
-			if r := <-came; r.verdict != want {
+			want, openConns := end(first, second, cancel)
+			if r := <-results; r.verdict != want {
 				t.Errorf("verdict %d, want %d", r.verdict, want)
 			}
-			lbtest.Until(t, "places are given back", func() bool {
+			lbtest.Until(t, "unused slots are released", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				return p.openConns == open && c.openConns == open && len(p.idle) == open
+				return p.openConns == openConns && c.openConns == openConns && len(p.idle) == openConns
 			})
 		})
 	}
 }
 
-// Second connections are a part of all at the most, so that slow endpoints are not burdened by twice as many.
+// The budget limits second dials to a fraction of the first dials, so that slow endpoints do not get twice as many connections.
 func TestHedgedDialsAreLimitedByBudget(t *testing.T) {
 	t.Parallel()
 	d, c := newControlledClient(true)
 	p := c.Pool("127.0.0.1:1")
 	defer p.Close()
 	c.dials.budget = 0
-	ctx, give := context.WithCancel(t.Context())
-	one := startRequest(ctx, p, "one") // brings half of one
+	ctx, cancel := context.WithCancel(t.Context())
+	one := startRequest(ctx, p, "one") // adds hedgeBudgetRatio, one half, to the budget
 	<-d.started
 	two := startRequest(ctx, p, "two")
 	<-d.started
-	<-d.started // the one that both have brought
-	give()
+	<-d.started // the second dial that the budget of both requests allows
+	cancel()
 	<-one
 	<-two
 	if n := len(d.started); n > 0 || c.dials.budget >= 1 {
-		t.Errorf("%d more were begun, %.1f are left", n, c.dials.budget)
+		t.Errorf("%d more second dials, budget %.1f left; want none and less than 1", n, c.dials.budget)
 	}
 }
 
-// A second answer that is written late, after the next request has come, is not taken for that one's answer: a connection
-// is left alone for a while after an answer where another can be had. Here it always comes then.
+// An endpoint may write a duplicate response late, after the next request has arrived on the same connection. SettleTime keeps the
+// duplicate from being taken for the response to that request: a connection is not reused for a while after a response if a new
+// connection is possible. The endpoint of this test writes a duplicate before each response on a reused connection.
 func TestLateDuplicateResponseIsNotTakenForNextRequest(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
 		if a.Index > 0 {
-			a.Write([]byte(lbtest.OK("answer to one"))) // once more, behind the request that it does not belong to
+			a.Write([]byte(lbtest.OK("answer to one"))) // a duplicate of the first response, after another request
 		}
 		a.OK()
 	})
@@ -185,15 +190,15 @@
 	defer p.Close()
 	for _, id := range strings.Fields("one two three") {
 		if v, body := sendRequest(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
-			t.Errorf("%s: verdict %d, %q", id, v, body)
+			t.Errorf("request %s: verdict %d, body %q", id, v, body)
 		}
 	}
 	if n := c.OpenConns(); n != 3 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections are open, want 3", n)
 	}
 }
 
-// Where there is no place for another connection one that has not settled is used: the request would fail else.
+// At the connection limit, a connection is reused before SettleTime has passed. Otherwise the request would fail.
 func TestUnsettledConnectionIsReusedAtConnectionLimit(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
@@ -202,7 +207,7 @@
 	defer p.Close()
 	for _, id := range strings.Fields("one two") {
 		if v, body := sendRequest(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
-			t.Errorf("%s: verdict %d, %q", id, v, body)
+			t.Errorf("request %s: verdict %d, body %q", id, v, body)
 		}
 	}
 }
