--- a/internal/balancer/upstream/conn.go
+++ b/internal/balancer/upstream/conn.go
@@ -13,7 +13,8 @@
 	"silvertrail/internal/base/timeout"
 )
 
-// errMalformed marks a response that is not valid HTTP or exceeds a limit. The request may have run, and the endpoint still responds.
+// errMalformed marks a response that is not valid HTTP or exceeds a limit. The request may have run, and the endpoint has not
+// failed.
 var errMalformed = errors.New("malformed response")
 
 // Response is an endpoint's response.
@@ -37,7 +38,7 @@
 	idleFor       time.Duration // time that it was idle before its present use
 	readDeadline  time.Time     // value set last; zero: none
 	readTimeout   time.Duration // timeout of each read; 0: the read deadline applies
-	maxBody       int64         // bytes of a response's body
+	maxBody       int64         // limit on a response's body, in bytes
 	earlyResponse chan error    // set while a request body is streamed: receives the result of waiting for the response
 	progress      *Receipt      // progress of its present attempt
 	readFD        func(fd uintptr) (done bool)
@@ -56,7 +57,8 @@
 }
 
 // Read implements net.Conn. If readTimeout is set, the timeout applies to each read, because the whole response may take long. If the
-// deadline has passed while this process was paused, Read tries once more, so that bytes that arrived during the pause are still read.
+// deadline has passed while this process was paused, Read waits for up to minStall more, so that bytes that arrived during the
+// pause are still read.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.readTimeout > 0 {
 		c.setReadDeadline(time.Now().Add(c.readTimeout))
--- a/internal/balancer/upstream/idlelimit.go
+++ b/internal/balancer/upstream/idlelimit.go
@@ -7,12 +7,12 @@
 
 // idleLimit is the longest time that a connection may have been idle and still be reused. It starts at the configured time. When
 // a connection breaks just after it is reused, the limit drops below the time that the connection was idle. It applies to the
-// connections of all pools, because the endpoints of one tier, and the devices on the path to them, are alike. It rises again with
-// time.
+// connections of all pools, because the endpoints of one tier, and the devices on the path to them, are alike. The limit rises again
+// with time.
 //
 // This protects against idle timeouts that are shorter than configured, and against lost connection state (a middlebox, or a
-// restart behind one address). If connections break at any age, the limit falls to its minimum. Most requests then cost a
-// handshake, which is much cheaper than a request that may have run and must not be repeated.
+// restart behind one address). If connections break whatever their idle time, the limit falls to its minimum. Most requests then
+// cost a handshake, which is much cheaper than a request that may have run and must not be repeated.
 type idleLimit struct {
 	configured, learned time.Duration
 	learnedAt           time.Time
--- a/internal/balancer/upstream/read.go
+++ b/internal/balancer/upstream/read.go
@@ -17,10 +17,10 @@
 
 const (
 	maxHeadBytes     = 16 << 10 // of a response's head; request buffers above this size are not pooled
-	maxBufferedBytes = 64 << 10 // of a response's body; the protocol's limit for buffered bodies
+	maxBufferedBytes = 64 << 10 // of a response's body that is buffered; the protocol's limit
 	maxInformational = 8        // 1xx responses before the final one
 	// maxStall is the longest stall timeout: how long a response that has begun may deliver no bytes. An endpoint has produced the
-	// whole response when it begins to send, so a response that stalls is malformed: a head without an end, a wrong length, or noise
+	// whole response when it begins to send, so a response that stalls is malformed: a head without an end, a wrong length, or garbage
 	// without a line end. Ending the attempt early leaves time for the next attempt. Where responses are streamed
 	// (Options.MaxStreamBytes), the timeout applies to each read. Otherwise it applies to the whole response, because small responses
 	// of healthy endpoints arrive at once.
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -11,22 +11,28 @@
 const settingsText = `{"balancers": 1, "classes": [{"deadline": 5, "effect": "free", "goal_time": 2, "worth": 1}],
 	"limits": {"max_attempts": 3}}`
 
+// littleEndian returns the encoding of v in a frame.
 func littleEndian[T uint16 | uint32 | uint64 | float64 | uint8](v T) []byte {
 	b, _ := binary.Append(nil, binary.LittleEndian, v)
 	return b
 }
 
+// batch returns a frame with the records, at a time in seconds.
 func batch(now float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	return bytes.Join([][]byte{littleEndian(uint32(len(body) + 12)), littleEndian(math.Float64bits(now)), body}, nil)
 }
 
+// openRecord returns an OPEN_INSTANCE record with seed 7 and the given settings.
 func openRecord(instance uint32, text string) []byte {
-	return bytes.Join([][]byte{littleEndian(uint16(1)), littleEndian(instance), littleEndian(uint64(7)), littleEndian(uint32(len(text))), []byte(text)}, nil)
+	return bytes.Join([][]byte{littleEndian(uint16(1)), littleEndian(instance), littleEndian(uint64(7)),
+		littleEndian(uint32(len(text))), []byte(text)}, nil)
 }
 
+// requestRecord returns an INBOUND record of class 0 and tenant 0, whose client gives up after 2 s.
 func requestRecord(instance uint32, id uint64) []byte {
-	return bytes.Join([][]byte{littleEndian(uint16(3)), littleEndian(instance), littleEndian(id), make([]byte, 13), littleEndian(2.0), make([]byte, 9)}, nil)
+	return bytes.Join([][]byte{littleEndian(uint16(3)), littleEndian(instance), littleEndian(id),
+		make([]byte, 13), littleEndian(2.0), make([]byte, 9)}, nil)
 }
 
 // Guards against one instance's failure affecting the others. An instance with invalid settings is reported as an exception, and the
