--- a/internal/balancer/upstream/dial_test.go
+++ b/internal/balancer/upstream/dial_test.go
@@ -12,20 +12,21 @@
 	"silvertrail/lbpolicy"
 )
 
-// dials has the test decide when each connection comes up, and whether.
-type dials struct{ began chan *oneDial }
+// controlledDialer lets a test decide when each dial ends, and whether it succeeds.
+type controlledDialer struct{ started chan *controlledDial }
 
-type oneDial struct {
-	goOn chan error
-	over chan struct{} // closed when it has ended
+// controlledDial is one dial of a controlledDialer. A nil error on proceed lets it connect; another error makes it fail.
+type controlledDial struct {
+	proceed chan error
+	ended   chan struct{} // closed when the dial has ended
 }
 
-func (d *dials) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	one := &oneDial{make(chan error, 1), make(chan struct{})}
-	d.began <- one
-	defer close(one.over)
+func (d *controlledDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	dial := &controlledDial{make(chan error, 1), make(chan struct{})}
+	d.started <- dial
+	defer close(dial.ended)
 	select {
-	case err := <-one.goOn:
+	case err := <-dial.proceed:
 		if err != nil {
 			return nil, err
 		}
@@ -35,145 +36,152 @@
 	}
 }
 
-func newDials(again bool) (*dials, *Client) {
-	d := &dials{make(chan *oneDial, 8)}
-	return d, NewClient(Options{DialTimeout: 2 * lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: 64, HedgeDials: again, Dial: d.dial})
+// newControlledClient returns a client whose dials are decided by the returned dialer. hedge sets Options.HedgeDials.
+func newControlledClient(hedge bool) (*controlledDialer, *Client) {
+	d := &controlledDialer{make(chan *controlledDial, 8)}
+	return d, NewClient(Options{DialTimeout: 2 * lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: 64, HedgeDials: hedge, Dial: d.dial})
 }
 
-type result struct {
-	v    lbpolicy.Verdict
-	body string
+type attemptResult struct {
+	verdict lbpolicy.Verdict
+	body    string
 }
 
-func begin(ctx context.Context, p *Pool, id string) chan result {
-	came := make(chan result, 1)
+// startRequest sends a request in a goroutine of its own, and returns a channel that receives the result.
+func startRequest(ctx context.Context, p *Pool, id string) chan attemptResult {
+	results := make(chan attemptResult, 1)
 	go func() {
-		v, a, _ := p.Do(ctx, request(id), &Receipt{}, yes)
-		if a == nil {
-			a = &Response{}
+		verdict, response, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
+		if response == nil {
+			response = &Response{}
 		}
-		came <- result{v, string(a.Body)}
+		results <- attemptResult{verdict, string(response.Body)}
 	}()
-	return came
+	return results
 }
 
-// A connection that is late holds an attempt up no longer than a second one takes. The request is written once; the late
-// connection stands idle, and is used by the next.
-func TestLateDial(t *testing.T) {
+// A late dial delays an attempt only until a second dial has connected. The request is written once. The connection of the late dial
+// becomes idle, and is used by the next request.
+func TestLateDialIsHedged(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-	d, c := newDials(true)
+	var received atomic.Int64
+	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { received.Add(1); a.OK() })
+	d, c := newControlledClient(true)
 	p := c.Pool(e.Addr)
 	defer p.Close()
-	came := begin(t.Context(), p, "one")
-	first := <-d.began
-	second := <-d.began // the first is late
-	second.goOn <- nil
-	if r := <-came; r.v != lbpolicy.OK || r.body != "answer to one" {
-		t.Fatalf("got %+v", r)
+	results := startRequest(t.Context(), p, "one")
+	first := <-d.started
+	second := <-d.started // starts because the first dial is late
+	second.proceed <- nil
+	if r := <-results; r.verdict != lbpolicy.OK || r.body != "answer to one" {
+		t.Fatalf("first request: got %+v, want a successful response", r)
 	}
-	first.goOn <- nil
+	first.proceed <- nil
 	lbtest.Until(t, "two idle connections", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(p.idle) == 2 && p.openConns == 2 && c.openConns == 2
 	})
-	if r := <-begin(t.Context(), p, "two"); r.v != lbpolicy.OK || len(d.began) > 0 {
-		t.Errorf("got %+v, %d more connections begun", r, len(d.began))
+	if r := <-startRequest(t.Context(), p, "two"); r.verdict != lbpolicy.OK || len(d.started) > 0 {
+		t.Errorf("second request: got %+v and %d more dials, want a successful response and no dial", r, len(d.started))
 	}
-	if n := got.Load(); n != 2 {
-		t.Errorf("%d requests at the endpoint", n)
+	if n := received.Load(); n != 2 {
+		t.Errorf("endpoint received %d requests, want 2", n)
 	}
 }
 
-// All ends of two connections give their places back, and the attempt has the end that is true of both.
-func TestLateDialEnds(t *testing.T) {
+// However two dials of one attempt end, the slots without a connection are released. The attempt fails to connect only if both dials
+// fail or the attempt is cancelled.
+func TestHedgedDialReleasesUnusedSlots(t *testing.T) {
 	t.Parallel()
-	refused := errors.New("refused")
+	errRefused := errors.New("refused")
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	for name, end := range map[string]func(first, second *oneDial, give func()) (want lbpolicy.Verdict, open int){
-		"both fail": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			f.goOn <- refused
-			s.goOn <- refused
+	for name, end := range map[string]func(first, second *controlledDial, cancel func()) (want lbpolicy.Verdict, openConns int){
+		"both fail": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			first.proceed <- errRefused
+			second.proceed <- errRefused
 			return lbpolicy.ConnectFailed, 0
 		},
-		"the first fails": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			f.goOn <- refused
-			<-f.over
-			s.goOn <- nil
+		"the first fails": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			first.proceed <- errRefused
+			<-first.ended
+			second.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"the second fails": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			s.goOn <- refused
-			<-s.over
-			f.goOn <- nil
+		"the second fails": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			second.proceed <- errRefused
+			<-second.ended
+			first.proceed <- nil
 			return lbpolicy.OK, 1
 		},
-		"given up": func(f, s *oneDial, give func()) (lbpolicy.Verdict, int) { give(); return lbpolicy.ConnectFailed, 0 },
-		"given up as the first fails": func(f, s *oneDial, give func()) (lbpolicy.Verdict, int) {
-			f.goOn <- refused
-			<-f.over
-			give()
+		"attempt cancelled": func(first, second *controlledDial, cancel func()) (lbpolicy.Verdict, int) {
+			cancel()
 			return lbpolicy.ConnectFailed, 0
 		},
-		"the late one fails after it": func(f, s *oneDial, _ func()) (lbpolicy.Verdict, int) {
-			s.goOn <- nil
-			<-s.over
-			f.goOn <- refused
+		"attempt cancelled after the first fails": func(first, second *controlledDial, cancel func()) (lbpolicy.Verdict, int) {
+			first.proceed <- errRefused
+			<-first.ended
+			cancel()
+			return lbpolicy.ConnectFailed, 0
+		},
+		"the first fails after the second connects": func(first, second *controlledDial, _ func()) (lbpolicy.Verdict, int) {
+			second.proceed <- nil
+			<-second.ended
+			first.proceed <- errRefused
 			return lbpolicy.OK, 1
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d, c := newDials(true)
+			d, c := newControlledClient(true)
 			p := c.Pool(e.Addr)
 			defer p.Close()
-			ctx, give := context.WithCancel(t.Context())
-			defer give()
-			came := begin(ctx, p, "one")
-			first, second := <-d.began, <-d.began
-			want, open := end(first, second, give)
-			if r := <-came; r.v != want {
-				t.Errorf("verdict %d, want %d", r.v, want)
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			results := startRequest(ctx, p, "one")
+			first, second := <-d.started, <-d.started
+			want, openConns := end(first, second, cancel)
+			if r := <-results; r.verdict != want {
+				t.Errorf("verdict %d, want %d", r.verdict, want)
 			}
-			lbtest.Until(t, "places are given back", func() bool {
+			lbtest.Until(t, "unused slots are released", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				return p.openConns == open && c.openConns == open && len(p.idle) == open
+				return p.openConns == openConns && c.openConns == openConns && len(p.idle) == openConns
 			})
 		})
 	}
 }
 
-// Second connections are a part of all at the most, so that slow endpoints are not burdened by twice as many.
-func TestLateDialBudget(t *testing.T) {
+// The budget limits second dials to a fraction of the first dials, so that slow endpoints do not get twice as many connections.
+func TestHedgedDialsAreLimitedByBudget(t *testing.T) {
 	t.Parallel()
-	d, c := newDials(true)
+	d, c := newControlledClient(true)
 	p := c.Pool("127.0.0.1:1")
 	defer p.Close()
 	c.dials.budget = 0
-	ctx, give := context.WithCancel(t.Context())
-	one := begin(ctx, p, "one") // brings half of one
-	<-d.began
-	two := begin(ctx, p, "two")
-	<-d.began
-	<-d.began // the one that both have brought
-	give()
+	ctx, cancel := context.WithCancel(t.Context())
+	one := startRequest(ctx, p, "one") // adds hedgeBudgetRatio, one half, to the budget
+	<-d.started
+	two := startRequest(ctx, p, "two")
+	<-d.started
+	<-d.started // the second dial that the budget of both requests allows
+	cancel()
 	<-one
 	<-two
-	if n := len(d.began); n > 0 || c.dials.budget >= 1 {
-		t.Errorf("%d more were begun, %.1f are left", n, c.dials.budget)
+	if n := len(d.started); n > 0 || c.dials.budget >= 1 {
+		t.Errorf("%d more second dials, budget %.1f left; want none and less than 1", n, c.dials.budget)
 	}
 }
 
-// A second answer that is written late, after the next request has come, is not taken for that one's answer: a connection
-// is left alone for a while after an answer where another can be had. Here it always comes then.
-func TestLateSecondAnswer(t *testing.T) {
+// An endpoint may write a duplicate response late, after the next request has arrived on the same connection. SettleTime keeps the
+// duplicate from being taken for the response to that request: a connection is not reused for a while after a response if a new
+// connection is possible. The endpoint of this test writes a duplicate before each response on a reused connection.
+func TestLateDuplicateResponseIsNotTakenForNextRequest(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
 		if a.Index > 0 {
-			a.Write([]byte(lbtest.OK("answer to one"))) // once more, behind the request that it does not belong to
+			a.Write([]byte(lbtest.OK("answer to one"))) // a duplicate of the first response, after another request
 		}
 		a.OK()
 	})
@@ -181,25 +189,25 @@
 	p := c.Pool(e.Addr)
 	defer p.Close()
 	for _, id := range strings.Fields("one two three") {
-		if v, body := do(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
-			t.Errorf("%s: verdict %d, %q", id, v, body)
+		if v, body := sendRequest(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
+			t.Errorf("request %s: verdict %d, body %q", id, v, body)
 		}
 	}
 	if n := c.OpenConns(); n != 3 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections are open, want 3", n)
 	}
 }
 
-// Where there is no place for another connection one that has not settled is used: the request would fail else.
-func TestUnsettled(t *testing.T) {
+// At the connection limit, a connection is reused before SettleTime has passed. Otherwise the request would fail.
+func TestUnsettledConnectionIsReusedAtConnectionLimit(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	c := NewClient(Options{DialTimeout: lbtest.Wait, IdleTimeout: 10 * lbtest.Wait, SettleTime: 5 * lbtest.Wait, MaxConns: 1})
 	p := c.Pool(e.Addr)
 	defer p.Close()
 	for _, id := range strings.Fields("one two") {
-		if v, body := do(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
-			t.Errorf("%s: verdict %d, %q", id, v, body)
+		if v, body := sendRequest(t, p, id); v != lbpolicy.OK || body != "answer to "+id {
+			t.Errorf("request %s: verdict %d, body %q", id, v, body)
 		}
 	}
 }
--- a/internal/simulator/decoder_test.go
+++ b/internal/simulator/decoder_test.go
@@ -13,7 +13,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// eventRecorder writes down what a Handler is told.
+// eventRecorder is a Handler that records each event as text.
 type eventRecorder struct{ strings.Builder }
 
 func (n *eventRecorder) Open(i uint32, seed uint64, s []byte) {
@@ -34,7 +34,7 @@
 	fmt.Fprintf(n, "gone %d %d;", i, id)
 }
 func (n *eventRecorder) Timer(i uint32, token uint64) { fmt.Fprintf(n, "timer %d %d;", i, token) }
-func unhex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -43,11 +43,11 @@
 	return b
 }
 
-// frame puts a batch header before records.
+// frame returns a batch with a header and the records, which are given in hexadecimal.
 func frame(t testing.TB, records string) []byte {
 	t.Helper()
-	body := unhex(t, records)
-	return append(unhex(t, fmt.Sprintf("%02x%02x0000 508d976e12d32040", (len(body)+12)&255, (len(body)+12)>>8)), body...)
+	body := decodeHex(t, records)
+	return append(decodeHex(t, fmt.Sprintf("%02x%02x0000 508d976e12d32040", (len(body)+12)&255, (len(body)+12)>>8)), body...)
 }
 
 func decode(b []byte) (string, error) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// The examples printed in the protocol's description.
-func TestExamples(t *testing.T) {
+// Checks the examples that the protocol's description prints.
+func TestProtocolExamplesAreDecoded(t *testing.T) {
 	const inbound = "0300 03000000 c4913a5d00660000 00 00000000 640ad2557c3bf091 b81e85eb51b8ce3f fa7e6abc7493883f 01"
 	for _, c := range []struct{ hex, want string }{
 		{"", ""},
@@ -85,21 +85,21 @@
 	} {
 		got, err := decode(frame(t, c.hex))
 		if err != nil || got != c.want {
-			t.Errorf("%s: %q, %v; want %q", c.hex, got, err, c.want)
+			t.Errorf("records %s: decoded %q with error %v, want %q", c.hex, got, err, c.want)
 		}
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestActionsAreEncoded(t *testing.T) {
 	var p Reply
 	p.Reset()
 	if got := hex.EncodeToString(p.Bytes()); got != "0800000000000000" {
-		t.Fatalf("empty reply %s", got)
+		t.Fatalf("empty reply is %s, want a header with length 8 and no actions", got)
 	}
 	h, h5 := p.Host(3), p.Host(5)
 	for _, c := range []struct {
-		act  func()
-		want string
+		action func()
+		want   string
 	}{
 		{func() { h5.Log("two servers unknown") }, "0600 05000000 1300 74776f207365727665727320756e6b6e6f776e"},
 		{func() { p.Exception(3, "index out of range") }, "0100 03000000 1200 696e646578206f7574206f662072616e6765"},
@@ -112,25 +112,25 @@
 		{func() { h.SetTimer(8*time.Second, 77) }, "0a00 03000000 0000000000002040 4d00000000000000"},
 	} {
 		p.Reset()
-		c.act()
-		want := unhex(t, c.want)
+		c.action()
+		want := decodeHex(t, c.want)
 		want = append([]byte{byte(len(want) + 8), 0, 0, 0, 1, 0, 0, 0}, want...)
 		if !bytes.Equal(p.Bytes(), want) {
-			t.Errorf("%x, want %x", p.Bytes(), want)
+			t.Errorf("reply frame %x, want %x", p.Bytes(), want)
 		}
 	}
 }
 
-// Frames that can't be read are told with the record and its place.
-func TestBadFrames(t *testing.T) {
+// The error for a malformed frame names the record and its byte offset in the input.
+func TestMalformedFrameErrorNamesRecordAndOffset(t *testing.T) {
 	for _, c := range []struct {
 		frame []byte
 		want  string
 	}{
-		{unhex(t, "0c0000"), "batch header at byte 0: cut off after 3 bytes"},
-		{unhex(t, "05000000 508d976e12d32040"), "length 5 out of range"},
-		{unhex(t, "ffffffff 508d976e12d32040"), "out of range"},
-		{unhex(t, "20000000 508d976e12d32040 0a00"), "32 bytes announced, cut off after 14"},
+		{decodeHex(t, "0c0000"), "batch header at byte 0: cut off after 3 bytes"},
+		{decodeHex(t, "05000000 508d976e12d32040"), "length 5 out of range"},
+		{decodeHex(t, "ffffffff 508d976e12d32040"), "out of range"},
+		{decodeHex(t, "20000000 508d976e12d32040 0a00"), "32 bytes announced, cut off after 14"},
 		{frame(t, "6300 03000000"), "record code 99 at byte 12: unknown event code"},
 		{frame(t, "0a00 03000000 0700 03000000 4d00"), "WAKEUP at byte 18: needs 8 bytes, 2 left"},
 		{frame(t, "0b00 00 ffffff0f 00"), "POOL at byte 12: count 268435455 past the frame's end"},
@@ -140,7 +140,7 @@
 		{frame(t, "0500 03000000 c4913a5d00660000 63 8b6ce7fba9f1923f 00 074a1203 01 00"), "unknown outcome 99"},
 	} {
 		if _, err := decode(c.frame); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("error %v, want %s", err, c.want)
+			t.Errorf("got error %v, want one that contains %s", err, c.want)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 		first, err := decode(b)
 		again, err2 := decode(b)
 		if first != again || (err == nil) != (err2 == nil) {
-			t.Fatal("the same bytes were read in two ways")
+			t.Fatal("decoding the same bytes twice gave different events or errors")
 		}
 	})
 }
