--- a/internal/balancer/engine/attempt.go
+++ b/internal/balancer/engine/attempt.go
@@ -11,33 +11,34 @@
 	"silvertrail/lbpolicy"
 )
 
-// loadReportHeader carries an endpoint's load report.
+// loadReportHeader is the response header that carries an endpoint's load report.
 const loadReportHeader = "X-Server-Load"
 
-// errNotSent is the end of an attempt that was held back.
-var errNotSent = errors.New("held back: the key is bound elsewhere, or can't be bound or recorded in time")
+// errNotSent is the error of an attempt that was not sent.
+var errNotSent = errors.New("attempt not sent: the key is claimed elsewhere, or could not be claimed or recorded before the deadline")
 
 // attempt is one attempt of a call.
 type attempt struct {
 	number         int
 	server         *endpoint
-	pool           *upstream.Pool // to the server's address when the attempt was decided on
+	pool           *upstream.Pool // connections to the address that the server had when the attempt was decided on
 	sentAt         time.Duration
 	receipt        upstream.Receipt
 	cancel         context.CancelFunc
-	firstByteSent  bool                 // or about to be
-	ended          bool                 // for the policy
-	isAbandoned    bool                 // ended before its response
-	isReporting    bool                 // the policy is being told of its response
-	isPending      bool                 // for the policy: see setDispatchPending
-	neverRan       bool                 // ended with proof that it never ran
-	closed         chan struct{}        // closed once it uses no connection any more
-	keyAttempt     *idempotency.Attempt // nil: the request has no key
-	record         Record               // nil: it is not recorded
+	firstByteSent  bool                 // the first byte was sent, or is about to be
+	ended          bool                 // the policy has been notified of the end, or is being notified
+	isAbandoned    bool                 // ended before its response was returned
+	isReporting    bool                 // the policy is being notified of the response
+	isPending      bool                 // the policy was told that the dispatch is pending: see setDispatchPending
+	neverRan       bool                 // ended with proof that the endpoint did not execute it
+	closed         chan struct{}        // closed when the attempt no longer uses a connection
+	keyAttempt     *idempotency.Attempt // nil: the request has no idempotency key
+	record         Record               // nil: the attempt is not recorded
 	intentRecorded bool
 }
 
-// abandon ends an attempt before its response. One whose first byte was not sent never will run.
+// abandon ends an attempt before its response is returned. An attempt whose first byte was not sent ends as NotSent, as it will
+// never run.
 func (e *Engine) abandon(now time.Duration, c *Call, a *attempt, v lbpolicy.Verdict) {
 	if a.ended {
 		return
@@ -46,11 +47,11 @@
 		v = lbpolicy.NotSent
 	}
 	a.isAbandoned = true
-	e.endAttempt(now, c, a, v, nil) // the policy may ask what has arrived
+	e.endAttempt(now, c, a, v, nil) // before the cancellation, as the policy may ask which bytes have arrived
 	a.cancel()
 }
 
-// endAttempt ends an attempt for the policy. The first successful response is the call's result.
+// endAttempt notifies the policy of the end of an attempt. The first successful response becomes the call's result.
 func (e *Engine) endAttempt(now time.Duration, c *Call, a *attempt, v lbpolicy.Verdict, response *upstream.Response) {
 	a.ended, a.neverRan = true, v.NeverRan()
 	if a.keyAttempt != nil {
@@ -84,8 +85,8 @@
 	e.release(c)
 }
 
-// runAttempt carries out an attempt, once earlier ones that were given up use no connection any more: endpoints count a
-// request as in progress for as long as its connection is open.
+// runAttempt carries out an attempt. It first waits until the earlier attempts that have ended no longer use a connection, because
+// endpoints count a request as in progress for as long as its connection is open.
 func (e *Engine) runAttempt(ctx context.Context, c *Call, a *attempt, earlier []chan struct{}) {
 	for _, closed := range earlier {
 		<-closed
@@ -108,13 +109,13 @@
 	a.cancel()
 }
 
-// send sends an attempt once its key is claimed and its intent is recorded.
+// send sends an attempt after its key has been claimed and its intent has been recorded.
 func (e *Engine) send(ctx context.Context, c *Call, a *attempt) (lbpolicy.Verdict, *upstream.Response, error) {
 	if !e.awaitDispatch(ctx, c, a) {
 		return lbpolicy.NotSent, nil, errNotSent
 	}
 	e.mu.Lock()
-	r := c.request // its deadline changes when a streamed body has arrived
+	r := c.request // copied under the lock, as the deadline changes when a streamed body has arrived
 	e.mu.Unlock()
 	if r.Stream != nil {
 		r.Stream = &uploadBody{RequestStream: r.Stream, engine: e, call: c, attempt: a}
@@ -122,9 +123,9 @@
 	return a.pool.Do(ctx, &r, &a.receipt, func() bool { return e.claimDispatch(c, a) })
 }
 
-// mayStart reports whether an attempt may still be sent. While its connection was established it may have been given up, its
-// call may have got its result, its endpoint may be draining, removed or elsewhere, or the window of its key may be over.
-// The caller holds the lock.
+// mayStart reports whether an attempt may still be sent. While its connection was being established, the attempt may have been
+// abandoned, its call may have received its result, its endpoint may have started to drain, been removed or changed its address,
+// or the retry window of its key may have ended. The caller holds the lock.
 func (e *Engine) mayStart(now time.Time, c *Call, a *attempt) bool {
 	if a.ended || c.done || !now.Before(c.request.Deadline) {
 		return false
@@ -135,7 +136,7 @@
 	return a.keyAttempt == nil || e.keyAllows(now, c, a)
 }
 
-// actions implements lbpolicy.Host. The balancer calls it within an event, with the lock held.
+// actions implements lbpolicy.Host. The balancer calls its methods while an event is processed, with the lock held.
 type actions struct{ *Engine }
 
 // Send implements lbpolicy.Host.
@@ -164,13 +165,13 @@
 	if c.key != nil && c.key.Recorder != nil {
 		a.record = c.key.Recorder.Attempt(a.server.name)
 	}
-	if c.request.Stream != nil && c.timeLeft > 0 { // waiting for the client does not make the server unresponsive
+	if c.request.Stream != nil && c.timeLeft > 0 { // a server that waits for the rest of the client's body is not unresponsive
 		e.pendingEvents = append(e.pendingEvents, func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
 	}
 	go e.runAttempt(ctx, c, a, earlier)
 }
 
-// abandonedAttempts returns when the attempts that have ended for the policy use no connection any more.
+// abandonedAttempts returns the channels that are closed when the attempts that have ended no longer use a connection.
 func (c *Call) abandonedAttempts() []chan struct{} {
 	var closed []chan struct{}
 	for _, a := range c.attempts {
@@ -181,7 +182,7 @@
 	return closed
 }
 
-// endUnsent ends an attempt that cannot be sent.
+// endUnsent ends an attempt that cannot be sent, once the present event has been handled.
 func (e actions) endUnsent(c *Call, a *attempt, s lbpolicy.ServerID) {
 	if a.server == nil {
 		a.server = &endpoint{Server: lbpolicy.Server{ID: s}}
@@ -224,8 +225,8 @@
 // Watch implements lbpolicy.Host.
 func (e actions) Watch() { e.watch() }
 
-// SetTimer implements lbpolicy.Host. The timer of a call is stopped with the call; other timers are the policy's own, one at a
-// time.
+// SetTimer implements lbpolicy.Host. If the token is the ID of a call, the timer replaces the earlier one of the call and is stopped
+// when the call is released. All other timers belong to the policy itself, which has one pending at a time.
 func (e actions) SetTimer(at time.Duration, token uint64) {
 	timer := time.AfterFunc(at-e.clock.now(), func() {
 		e.event(func(now time.Duration) { e.balancer.Timer(now, token) })
--- a/internal/balancer/engine/call.go
+++ b/internal/balancer/engine/call.go
@@ -9,42 +9,43 @@
 	"silvertrail/lbpolicy"
 )
 
-// Call is one client request, from its last byte to its result and the end of its last attempt.
+// Call is one client request. It begins with the last byte of the request, or earlier if the body is streamed, and lasts until its
+// result is available and its last attempt has ended.
 type Call struct {
 	id               lbpolicy.RequestID
 	request          upstream.Request
 	class            int
-	key              *Key // nil: the request has none
+	key              *Key // nil: the request has no idempotency key
 	result           chan Result
-	done             bool // it has its result, or its client has disconnected
+	done             bool // the result has been sent to the channel, or the client has disconnected
 	attempts         []*attempt
 	deadlineTimer    *time.Timer
 	checkTimer       *time.Timer // set by the policy
 	lastResponse     *upstream.Response
-	timeLeft         time.Duration // once its body has arrived, where that is still arriving
-	outOfDescriptors bool          // an attempt found no descriptor in this process
-	isClientGone     func() bool   // nil: nobody can tell
+	timeLeft         time.Duration // the time allowed after the last byte of a streamed body; zero when no byte is awaited
+	outOfDescriptors bool          // an attempt failed because this process had no free file descriptor
+	isClientGone     func() bool   // nil: the connection of the client cannot be checked
 }
 
-// Result is the one final result of a call.
+// Result is the final result of a call. Each call has at most one.
 type Result struct {
-	Response   *upstream.Response // if it was served
+	Response   *upstream.Response // nil: the call was not served
 	Rejected   bool
 	RetryAfter time.Duration
-	// MayHaveRun tells for a call that was not served whether an attempt may have run, or is running. If not, another
-	// cluster may be given the call, whatever its class.
+	// MayHaveRun reports for a call that was not served whether an attempt may have run, or is still running. If it is false, the
+	// call may be sent to another cluster, whatever its class.
 	MayHaveRun bool
-	// ClassRemoved means that the settings do not hold the call's class any more. Nothing was sent.
+	// ClassRemoved means that the settings no longer contain the call's class. Nothing was sent.
 	ClassRemoved bool
-	Attempts     int // that were made
-	// OutOfDescriptors means that an attempt found no descriptor in this process.
+	Attempts     int // number of attempts made
+	// OutOfDescriptors means that an attempt failed because this process had no free file descriptor.
 	OutOfDescriptors bool
 	// LastResponse is the last response to a call that failed; nil if none was received.
 	LastResponse *upstream.Response
 }
 
-// Begin starts a call. The time that the request has left counts from its last byte. The key is nil if it has none; the
-// request for the key must last until the result.
+// Begin starts a call. The TimeLeft of the request counts from its last byte. The key is nil if the request has no idempotency key;
+// otherwise its idempotency.Request must not be ended before the result is available.
 func (e *Engine) Begin(r upstream.Request, q lbpolicy.Request, key *Key) *Call {
 	return e.begin(r, q, key, nil)
 }
@@ -61,7 +62,7 @@
 	c.id, q.ID = e.lastID, e.lastID
 	q.TimeLeft = e.limitToShutdown(q.TimeLeft)
 	timeout := q.TimeLeft
-	if c.request.Stream != nil { // its time counts from its last byte; until then the progress of both sides bounds it
+	if c.request.Stream != nil { // TimeLeft counts from the last byte; until then the upload is bounded by the progress of both sides
 		c.timeLeft, timeout = q.TimeLeft, maxUploadTime
 		c.request.TimeLeft = q.TimeLeft
 	}
@@ -80,7 +81,7 @@
 	e.release(c)
 }
 
-// resolveClass finds the class of a request that arrived under earlier settings, by its name.
+// resolveClass looks up by name the class of a request that arrived under earlier settings. It is false if that class was removed.
 func (e *Engine) resolveClass(q *lbpolicy.Request) bool {
 	name := q.ClassAtArrival.Name
 	if q.Class < len(e.classes) && e.classes[q.Class].Name == name {
@@ -90,11 +91,11 @@
 	return q.Class >= 0
 }
 
-// Result returns the channel that receives the result.
+// Result returns the channel on which the result is delivered.
 func (c *Call) Result() <-chan Result { return c.result }
 
-// Do starts a call and waits for its result. If ctx ends first, the client has disconnected: ok is false unless a result is
-// available. A request whose client has disconnected is not started, see WithDisconnectCheck.
+// Do starts a call and waits for its result. The end of ctx means that the client has disconnected: ok is then false, unless a
+// result is already available. If the client has disconnected before, the call is not started: see WithDisconnectCheck.
 func (e *Engine) Do(ctx context.Context, r upstream.Request, q lbpolicy.Request, key *Key) (result Result, ok bool) {
 	if IsDisconnected(ctx) {
 		return Result{}, false
@@ -114,7 +115,7 @@
 	}
 }
 
-// ClientDisconnected records that the client has disconnected. A result from before is on the channel.
+// ClientDisconnected records that the client has disconnected. A result that was available before stays on the channel.
 func (e *Engine) ClientDisconnected(c *Call) {
 	e.event(func(now time.Duration) {
 		if c.done {
@@ -133,8 +134,8 @@
 			e.abandon(now, c, a, lbpolicy.Timeout)
 		}
 	})
-	// The policy has given a result by now. If it has not, the client still gets its one result: a failure, which promises
-	// nothing.
+	// The policy should have given a result by now. If it has not, the call fails here. A failure does not promise the client that a
+	// retry is harmless.
 	e.event(func(now time.Duration) {
 		if !c.done {
 			e.log.Error("call without a result at its deadline", "class", c.class)
@@ -145,7 +146,7 @@
 	})
 }
 
-// finish gives a call its result. Only the first one counts.
+// finish delivers the result of a call. Later results are ignored.
 func (e *Engine) finish(c *Call, result Result) {
 	if c.done {
 		return
@@ -161,7 +162,7 @@
 	c.result <- result
 }
 
-// release forgets a call that has its result and no attempt in flight.
+// release removes a call that is done and has no attempt in flight.
 func (e *Engine) release(c *Call) {
 	if !c.done {
 		return
--- a/internal/balancer/engine/disconnect.go
+++ b/internal/balancer/engine/disconnect.go
@@ -5,16 +5,19 @@
 	"time"
 )
 
-// A front end notices the end of a client connection by waiting for it, and that can be late: the whole process may have been
-// paused, or the end came behind bytes that nobody has read. Between the end and its notice, a dial may succeed, a record be
-// written, or another attempt release its connection, and the request would be sent for nobody. So the front end is asked
-// once more just before anything is sent. A client that closes only its sending side and still waits for the response
-// cannot be told from one that has disconnected, and gets a failure.
+// The front end waits for the end of each client connection, but may detect it late: the whole process may have been paused, or
+// bytes that have not been read yet may precede the end. Before the end is detected, a dial may succeed, a record may be written, or
+// another attempt may release its connection. The request would then be sent although its client has disconnected. Therefore the
+// front end is asked again just before the first byte is sent.
+//
+// A client that closes only its sending side and still waits for the response cannot be distinguished from one that has
+// disconnected. Its request fails.
 
 type disconnectCheckKey struct{}
 
-// WithDisconnectCheck adds a check whether the client has disconnected to a context. The check is called from any goroutine, also
-// after the context has ended, and must not block. If it returns true, it has ended the context or its parent.
+// WithDisconnectCheck returns a context with a function that reports whether the client has disconnected. The function is called
+// from any goroutine, also after the context has ended, and must not block. Before it returns true, it must end the context or its
+// parent.
 func WithDisconnectCheck(ctx context.Context, isDisconnected func() bool) context.Context {
 	return context.WithValue(ctx, disconnectCheckKey{}, isDisconnected)
 }
@@ -25,12 +28,12 @@
 	return ctx.Err() != nil || isDisconnected != nil && isDisconnected()
 }
 
-// disconnectCheckValidity is how long a check counts: half of the 0.1 s after which nothing begins for a client that has
-// disconnected.
+// disconnectCheckValidity is how long the result of a check may be used. It is half of the 0.1 s after a disconnect within which an
+// attempt may still begin.
 const disconnectCheckValidity = 50 * time.Millisecond
 
-// isClientPresent reports whether a call's client is still connected. If not, the policy is told first: it makes no further
-// attempt in place of the one that is held back.
+// isClientPresent reports whether the client of a call is still connected. If it is not, the policy is notified of that first, so
+// that it makes no further attempt in place of the one that is not sent.
 func (e *Engine) isClientPresent(c *Call) bool {
 	if c.isClientGone == nil || !c.isClientGone() {
 		return true
@@ -39,10 +42,10 @@
 	return false
 }
 
-// claimDispatch is called just before an attempt's first byte is sent: it may not be sent any more, see mayStart, or its
-// client may have disconnected. The client is checked before the lock is taken, as no system call is made under it. If the
-// lock was held meanwhile (a long list, a log line that nobody reads), the check is too old and is repeated, until the
-// attempt's time is over at the latest.
+// claimDispatch is called just before the first byte of an attempt is sent, and reports whether it may be sent: mayStart still
+// allows it, and the client is still connected. The client is checked before the lock is taken, because no system call is made
+// under the lock. If taking the lock took longer than disconnectCheckValidity (because of a long endpoint list, or a log whose
+// reader is slow), the check is repeated, until the call's deadline at the latest.
 func (e *Engine) claimDispatch(c *Call, a *attempt) bool {
 	for {
 		checkedAt := time.Now()
@@ -56,11 +59,11 @@
 	}
 }
 
-// tryClaimDispatch marks an attempt as sent if it may be, and the check of its client is not outdated.
+// tryClaimDispatch marks an attempt as sent if it may be sent and the check of its client is not outdated.
 func (e *Engine) tryClaimDispatch(checkedAt time.Time, c *Call, a *attempt) (mayStart, outdated bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := time.Now() // after a pause of the whole process, the deadline timer may fire later than this
+	now := time.Now() // mayStart compares it with the deadline, as the deadline timer may fire late after a pause of the process
 	mayStart = e.mayStart(now, c, a)
 	outdated = mayStart && now.Sub(checkedAt) > disconnectCheckValidity
 	a.firstByteSent = mayStart && !outdated
--- a/internal/balancer/engine/ejection.go
+++ b/internal/balancer/engine/ejection.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ErrUnknownEndpoint means that an endpoint was never listed.
+// ErrUnknownEndpoint means that an endpoint was never listed, as far as listed names are remembered.
 var ErrUnknownEndpoint = errors.New("engine: the endpoint was never listed")
 
-// SetManuallyEjected ejects an endpoint on an operator's request, or restores it. When it returns no new attempt can begin
-// there: neither retries, hedged requests and probes, nor attempts that were decided on and have not sent their first byte.
-// ErrUnknownEndpoint means that the endpoint was never listed, as far as that is remembered.
+// SetManuallyEjected ejects an endpoint on an operator's request, or restores it. Once it has returned after an ejection, no new
+// attempt begins at the endpoint. This holds for retries, hedged requests and probes, and for attempts that were decided on before
+// but have not sent their first byte. For an endpoint that was never listed it returns ErrUnknownEndpoint.
 func (e *Engine) SetManuallyEjected(name string, ejected bool) error {
 	err := ErrUnknownEndpoint
 	e.event(func(now time.Duration) {
@@ -30,7 +30,7 @@
 		if server := e.endpoints[id]; server != nil {
 			server.manuallyEjected = ejected
 			if ejected {
-				server.pool.CloseIdle() // its process is about to end, which would break them under a request
+				server.pool.CloseIdle() // the server process is about to end, which would reset these connections under a new request
 			}
 		}
 		e.balancer.SetManuallyEjected(now, id, ejected)
@@ -38,7 +38,8 @@
 	return err
 }
 
-// SetEjectedUnlisted is SetManuallyEjected for an endpoint that another process knows, listed here or not.
+// SetEjectedUnlisted is SetManuallyEjected for an endpoint that another process has listed. It need not have been listed in this
+// process.
 func (e *Engine) SetEjectedUnlisted(name string, ejected bool) {
 	e.mu.Lock()
 	e.everListed.add(name)
--- a/internal/balancer/engine/endpoints.go
+++ b/internal/balancer/engine/endpoints.go
@@ -12,16 +12,16 @@
 	"silvertrail/lbpolicy"
 )
 
-// endpoint is an entry of the endpoint list with its connections.
+// endpoint is a listed endpoint with its connection pool.
 type endpoint struct {
 	lbpolicy.Server
 	name, address   string
 	pool            *upstream.Pool
 	manuallyEjected bool
-	entry           endpointlist.Endpoint // as it was listed last
+	entry           endpointlist.Endpoint // the latest valid entry of the list
 }
 
-// states are the policy's states by the statuses of the discovery service.
+// states maps the statuses of the discovery service to the states of the policy.
 var states = map[string]lbpolicy.State{"ready": lbpolicy.Ready, "draining": lbpolicy.Draining, "gone": lbpolicy.Removed}
 
 // UpdateEndpoints applies an endpoint list. Invalid entries are ignored.
@@ -48,7 +48,8 @@
 	})
 }
 
-// updateEndpoint applies one entry.
+// updateEndpoint applies one entry of a list. It returns an error for an invalid entry, apart from those whose status alone is
+// usable.
 func (e *Engine) updateEndpoint(entry endpointlist.Endpoint) (lbpolicy.Server, error) {
 	state, known := states[entry.Status]
 	if !known || entry.Name == "" {
@@ -63,7 +64,7 @@
 		StartedAt: e.clock.fromUnixMilli(entry.SinceMS),
 	}
 	current := e.endpoints[s.ID]
-	if state == lbpolicy.Removed { // only the name of a removed endpoint is needed
+	if state == lbpolicy.Removed { // the entry of a removed endpoint needs nothing but its name
 		if current != nil {
 			current.State = state
 		}
@@ -71,7 +72,7 @@
 	}
 	s.Zone = slices.Index(e.zones, entry.Zone)
 	if _, err := netip.ParseAddrPort(entry.Address); err != nil || s.Zone < 0 {
-		if current != nil && state == lbpolicy.Draining { // that it drains counts, whatever else is invalid
+		if current != nil && state == lbpolicy.Draining { // a known endpoint starts to drain even if the rest of its entry is invalid
 			current.State, current.entry.Status = state, entry.Status
 			return current.Server, nil
 		}
@@ -81,7 +82,7 @@
 	return s, nil
 }
 
-// applyEntry applies a valid entry to its endpoint, or adds one.
+// applyEntry updates an endpoint from a valid entry, or adds it if there is no current one.
 func (e *Engine) applyEntry(current *endpoint, s lbpolicy.Server, entry endpointlist.Endpoint) {
 	switch {
 	case current == nil:
@@ -92,22 +93,22 @@
 		current.pool.Close()
 		current.address, current.pool = entry.Address, e.client.Pool(entry.Address)
 	case current.StartedAt != s.StartedAt || s.State == lbpolicy.Draining:
-		current.pool.CloseIdle() // connections to a process that has ended, or is about to
+		current.pool.CloseIdle() // the server process at the other end has ended, or is about to end
 	}
 	current.Server, current.entry = s, entry
 }
 
-// Close removes all endpoints: nothing new is sent, and their connections end with the attempts on them.
+// Close removes all endpoints. No new attempt is sent, and connections in use are closed when their attempts end.
 func (e *Engine) Close() { e.UpdateEndpoints(lbpolicy.Full, nil) }
 
 func (e *Engine) removeEndpoint(server *endpoint) {
-	server.State = lbpolicy.Removed // attempts that still hold it must not be sent
+	server.State = lbpolicy.Removed // attempts that still refer to the endpoint must not be sent
 	server.pool.Close()
 	delete(e.endpoints, server.ID)
 }
 
-// serverID returns an endpoint's ID: a hash of its name, so that it is the same in every process (the policy's choice of a
-// subset depends on that). Where two names have one hash, the later one gets the next free ID.
+// serverID returns the ID of an endpoint. It is a hash of the name, so that the ID is the same in every process: the policy's choice
+// of a subset depends on that. If two names have the same hash, the one that is added later gets the next free ID.
 func (e *Engine) serverID(name string) lbpolicy.ServerID {
 	if id, ejected := e.manuallyEjected[name]; ejected {
 		return id
@@ -124,7 +125,7 @@
 	}
 }
 
-// isEjectedID reports whether a manually ejected endpoint has an ID, listed or not.
+// isEjectedID reports whether an ID belongs to a manually ejected endpoint, which need not be listed now.
 func (e *Engine) isEjectedID(id lbpolicy.ServerID) bool {
 	for _, ejected := range e.manuallyEjected {
 		if ejected == id {
@@ -134,7 +135,7 @@
 	return false
 }
 
-// Endpoints returns the endpoints as they are listed.
+// Endpoints returns the latest entries of all listed endpoints.
 func (e *Engine) Endpoints() []endpointlist.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,21 +146,21 @@
 	return list
 }
 
-// ClusterSize returns how many endpoints are listed, and how many of them get no requests now except probes.
+// ClusterSize returns the number of listed endpoints, and how many of them receive no requests now except probes.
 func (e *Engine) ClusterSize() (listed, ejected int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.endpoints), e.balancer.CountEjected()
 }
 
-// ListedHashes returns the hashes of all names that were ever listed, as far as they are remembered.
+// ListedHashes returns the hashes of the names that have been listed, as far as they are remembered (see nameSet).
 func (e *Engine) ListedHashes() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.everListed.latest.Hashes()
 }
 
-// AddListedHashes adds the names that were listed in another process.
+// AddListedHashes adds the hashes of names that have been listed in another process.
 func (e *Engine) AddListedHashes(hashes []uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/balancer/engine/engine.go
+++ b/internal/balancer/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine runs an lbpolicy.Balancer on real sockets and a real clock. It translates between the two and decides
-// nothing: clients' requests, ends of attempts, endpoint lists and timers become events, one at a time, and the actions of
-// the balancer become attempts and results.
+// Package engine runs an lbpolicy.Balancer on real sockets and a real clock. It makes no balancing decisions of its own. Client
+// requests, ends of attempts, endpoint lists and timers become events, which are processed one at a time. The actions of the
+// balancer become attempts and results.
 //
-// An Engine owns the balancer and serialises all events with one mutex, under which no I/O is done. Each attempt in flight
-// has a goroutine, and each call a timer for its deadline.
+// An Engine owns the balancer and serialises all events with one mutex, under which no I/O is done. Each attempt in flight has a
+// goroutine, and each call has a timer for its deadline.
 package engine
 
 import (
@@ -21,31 +21,31 @@
 	log    *slog.Logger
 	client *upstream.Client
 	clock  clock
-	watch  func() // polls discovery
+	watch  func() // polls the discovery service
 
 	mu              sync.Mutex // guards the fields below, and all calls, attempts and endpoints
 	zones           []string
 	reportFields    []string
 	balancer        *lbpolicy.Balancer
-	pendingEvents   []func(now time.Duration) // caused by actions; they follow the present event
+	pendingEvents   []func(now time.Duration) // events caused by actions, processed after the present event
 	lastID          lbpolicy.RequestID
-	classes         []lbpolicy.Class // in force
+	classes         []lbpolicy.Class // of the present settings
 	calls           map[lbpolicy.RequestID]*Call
 	endpoints       map[lbpolicy.ServerID]*endpoint
 	everListed      *nameSet
-	manuallyEjected map[string]lbpolicy.ServerID    // by name
-	hedges          [len(lbpolicy.HedgeReasons)]int // by reason
-	shutdownAt      time.Time                       // when all calls must have their result; zero: not shutting down
+	manuallyEjected map[string]lbpolicy.ServerID    // by endpoint name
+	hedges          [len(lbpolicy.HedgeReasons)]int // number of hedged requests by reason
+	shutdownAt      time.Time                       // by which all calls must have their result; zero: not shutting down
 }
 
 // Options configure an Engine.
 type Options struct {
 	Policy       lbpolicy.Settings
 	Seed         uint64
-	Zones        []string // by name, in the order of the policy's numbers
-	ReportFields []string // of a load report, in the order of Policy.ReportFields
+	Zones        []string // names, indexed by the policy's zone numbers
+	ReportFields []string // names of the fields of a load report, in the order of Policy.ReportFields
 	Client       *upstream.Client
-	Watch        func() // polls discovery; must not block
+	Watch        func() // polls the discovery service; must not block
 	Log          *slog.Logger
 }
 
@@ -69,7 +69,7 @@
 	return e, err
 }
 
-// event handles an event, and then the events that its actions cause.
+// event processes an event, and then the events that its actions cause.
 func (e *Engine) event(f func(now time.Duration)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,8 +82,8 @@
 	e.pendingEvents = nil
 }
 
-// handleEvent handles one event. A panic ends that event, and not the process with all its requests: it is logged, and what
-// the event was to decide is left to the deadlines of the calls (see expire).
+// handleEvent runs the handler of one event. A panic ends that handler, but not the process with all its requests: it is logged.
+// Calls that the event would have ended then end at their deadlines (see expire).
 func (e *Engine) handleEvent(f func(now time.Duration)) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -93,7 +93,7 @@
 	f(e.clock.now())
 }
 
-// ShutDownBy sets the time at which all calls, and all that still arrive, must have their result.
+// ShutDownBy sets the time by which all calls must have their result, those that still arrive included.
 func (e *Engine) ShutDownBy(at time.Time) {
 	e.event(func(time.Duration) {
 		e.shutdownAt = at
@@ -105,7 +105,7 @@
 	})
 }
 
-// limitToShutdown bounds the time that a call has left.
+// limitToShutdown limits the time that a call has left to the time until the shutdown.
 func (e *Engine) limitToShutdown(left time.Duration) time.Duration {
 	if e.shutdownAt.IsZero() {
 		return left
@@ -113,22 +113,22 @@
 	return min(left, max(time.Until(e.shutdownAt), 0))
 }
 
-// SetBalancers sets how many balancers share the endpoints, and the index of this one.
+// SetBalancers sets the number of balancers that share the endpoints, and the index of this one among them.
 func (e *Engine) SetBalancers(balancers, index int) {
 	e.event(func(now time.Duration) { e.balancer.SetBalancers(now, balancers, index) })
 }
 
-// SetDropFraction sets the fraction of the traffic to reject whatever the load, the lowest priority weight first.
+// SetDropFraction sets the fraction of the traffic that is rejected at any load, the lowest priority weight first.
 func (e *Engine) SetDropFraction(fraction float64) {
 	e.event(func(now time.Duration) { e.balancer.SetDropFraction(now, fraction) })
 }
 
-// InFlight returns the number of calls that wait for their result or for the end of an attempt.
+// InFlight returns the number of calls that are waiting for their result or for the end of an attempt.
 func (e *Engine) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.calls)
 }
 
-// Synchronize calls f while nothing else happens in the engine: no attempt begins, and none ends.
+// Synchronize calls f while no event is processed: no attempt begins or ends meanwhile.
 func (e *Engine) Synchronize(f func()) { e.event(func(time.Duration) { f() }) }
--- a/internal/balancer/engine/key.go
+++ b/internal/balancer/engine/key.go
@@ -10,44 +10,45 @@
 	"silvertrail/lbpolicy"
 )
 
-// Key is the idempotency key of a request, and how its attempts are claimed and recorded.
+// Key is the idempotency key of a request, with the means to claim it and to record the attempts.
 type Key struct {
 	History *idempotency.Request
-	Cluster string
+	Cluster string // the cluster of this engine
 	Terms   idempotency.Terms
-	// Claimer agrees with other processes on where the key's attempts go; nil: there are none.
+	// Claimer claims the key for one place among all processes. Nil: there are no other processes.
 	Claimer Claimer
-	// Recorder records attempts before they are sent; nil: they are not recorded.
+	// Recorder records attempts before they are sent. Nil: attempts are not recorded.
 	Recorder Recorder
 }
 
 func (k *Key) needsClaim() bool { return k.Claimer != nil && k.Claimer.IsActive() }
 
-// Recorder records the attempts of a request. Neither it nor its records may call the engine.
+// Recorder records the attempts of a request. Neither a Recorder nor its Records may call the engine.
 type Recorder interface {
-	// Attempt begins the record of the next attempt.
+	// Attempt begins the record of the next attempt, to the named endpoint.
 	Attempt(endpoint string) Record
 }
 
 // Record is the record of one attempt.
 type Record interface {
-	// Intent returns once it is recorded durably that the attempt is about to be sent. After an error it must not be sent.
+	// Intent records that the attempt is about to be sent, and returns once the record is durable. After an error the attempt must
+	// not be sent.
 	Intent(ctx context.Context, to idempotency.Place) error
-	// Ended records the end, and the status of the response if one was received. It must not block.
+	// Ended records how the attempt ended, and the status of the response, which is 0 if none was received. It must not block.
 	Ended(v lbpolicy.Verdict, status int)
 }
 
-// Claimer claims a key for a place, for all processes, before the first byte of an attempt is sent there.
+// Claimer claims a key for a place before the first byte of an attempt is sent there. The claim holds in all processes.
 type Claimer interface {
-	// IsActive reports whether there are other processes. Once it is true no attempt begins without a claim.
+	// IsActive reports whether there are other processes. Once it has returned true, no attempt begins without a claim.
 	IsActive() bool
-	// Claim claims the key; KeyState returns the result. It may be called again for another attempt.
+	// Claim claims the key. KeyState then returns the result. Claim may be called again for another attempt.
 	Claim(ctx context.Context, to idempotency.Place)
-	// KeyState returns what is known of the key in all processes: an attempt may be sent where that allows its place.
+	// KeyState returns the key's state over all processes. An attempt may be sent to a place that this state allows.
 	KeyState() idempotency.KeyState
 }
 
-// keyState returns what is known of a call's key in the policy's terms.
+// keyState returns the state of a call's key, converted to the types of the policy.
 func (e *Engine) keyState(c *Call) lbpolicy.KeyState {
 	scope := c.key.Terms.Scope
 	known := c.key.History.KeyState(scope)
@@ -69,7 +70,7 @@
 	return state
 }
 
-// place returns where an endpoint is now.
+// place returns the place to which an endpoint belongs now.
 func (e *Engine) place(c *Call, server *endpoint) idempotency.Place {
 	p := idempotency.Place{Cluster: c.key.Cluster, Cell: server.Cell}
 	if server.Zone >= 0 && server.Zone < len(e.zones) {
@@ -78,8 +79,9 @@
 	return p
 }
 
-// reserveKey reserves a call's key for the place of an attempt. If it fails, another request with the key was faster, or the
-// key's window has just ended: the policy gets the new state of the key, and then the end of the attempt.
+// reserveKey reserves a call's key for the place of an attempt. It fails if another request with the key has reserved it elsewhere
+// first, or if the key's retry window has just ended. The policy then gets the new state of the key, followed by the end of the
+// attempt.
 func (e *Engine) reserveKey(c *Call, a *attempt) bool {
 	if c.key == nil {
 		return true
@@ -92,13 +94,13 @@
 	return err == nil
 }
 
-// slowRecordDelay is how long an attempt waits for its record before the policy is told that its server does not cause the
-// wait.
+// slowRecordDelay is how long an attempt waits for its intent to be recorded before the policy is notified that the server does not
+// cause the wait.
 const slowRecordDelay = 5 * time.Millisecond
 
-// awaitDispatch claims the key of an attempt, and records its intent. It is false if the attempt must not be sent: another
-// process was faster, or cannot be reached in time, or the intent cannot be recorded. The policy gets the state of the key
-// with the end of the attempt.
+// awaitDispatch claims the key of an attempt, and records its intent. It is false if the attempt must not be sent: another process
+// has claimed the key first, the claim was not confirmed in time, or the intent could not be recorded. The policy gets the state of
+// the key with the end of the attempt.
 func (e *Engine) awaitDispatch(ctx context.Context, c *Call, a *attempt) bool {
 	if c.key == nil {
 		return true
@@ -111,7 +113,7 @@
 	return a.record == nil || e.recordIntent(ctx, c, a)
 }
 
-// claimKey claims the key of an attempt in all processes.
+// claimKey claims the key of an attempt in all processes. It reports whether the claim covers the place of the endpoint afterwards.
 func (e *Engine) claimKey(ctx context.Context, c *Call, a *attempt) (claimed bool) {
 	var to idempotency.Place
 	e.event(func(now time.Duration) {
@@ -126,7 +128,7 @@
 	return claimed
 }
 
-// recordIntent records that an attempt is about to be sent.
+// recordIntent records that an attempt is about to be sent. It is false if that failed.
 func (e *Engine) recordIntent(ctx context.Context, c *Call, a *attempt) bool {
 	e.mu.Lock()
 	to := e.place(c, a.server)
@@ -139,7 +141,7 @@
 		e.event(func(now time.Duration) { e.setDispatchPending(now, c, a, false) })
 	}
 	e.mu.Lock()
-	a.sentAt = e.clock.now() // the endpoint has not caused the wait
+	a.sentAt = e.clock.now() // the wait for the record does not count as latency of the endpoint
 	a.intentRecorded = true
 	e.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
@@ -148,7 +150,8 @@
 	return err == nil
 }
 
-// setDispatchPending tells the policy that an attempt waits for something that its server does not cause, or no longer does.
+// setDispatchPending notifies the policy that an attempt is waiting for something that its server does not cause, or that the wait
+// is over. The latency of the attempt counts from the end of the wait.
 func (e *Engine) setDispatchPending(now time.Duration, c *Call, a *attempt, pending bool) {
 	if a.ended || pending && a.intentRecorded {
 		return
@@ -160,13 +163,13 @@
 	}
 }
 
-// keyAllows reports whether an attempt with a key may start now, at the present place of its endpoint.
+// keyAllows reports whether the state of its key lets an attempt start now, at the place to which its endpoint belongs now.
 func (e *Engine) keyAllows(now time.Time, c *Call, a *attempt) bool {
 	at := e.place(c, a.server)
 	return a.keyAttempt.MayStart(now, at) && e.isClaimValid(now, c, at)
 }
 
-// isClaimValid reports whether the claim in other processes covers an attempt at a place.
+// isClaimValid reports whether the claim covers an attempt at a place, or none is needed.
 func (e *Engine) isClaimValid(now time.Time, c *Call, to idempotency.Place) bool {
 	if c.key == nil || !c.key.needsClaim() {
 		return true
@@ -175,7 +178,7 @@
 	return state.Known && state.Allows(to, c.key.Terms.Scope) && now.Before(state.RetryUntil)
 }
 
-// updateKeyState tells the policy what is known of a call's key now.
+// updateKeyState notifies the policy of the present state of a call's key.
 func (e *Engine) updateKeyState(now time.Duration, c *Call) {
 	if c.key != nil && !c.done {
 		e.balancer.KeyStateUpdated(now, c.id, e.keyState(c))
--- a/internal/balancer/engine/loadreport.go
+++ b/internal/balancer/engine/loadreport.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// maxUtilization bounds what is believed of a reported utilization. A ratio of CPU cores in use is at most about 1, with noise:
-// one wild value taken for load would have requests rejected that a healthy pool could serve.
+// maxUtilization is the largest utilization that is accepted from a load report. A ratio of CPU cores in use is at most about 1, with
+// noise. If a single wildly wrong value counted as load, requests would be rejected that a healthy pool could serve.
 const maxUtilization = 4
 
-// parseLoad parses a load report ("inflight=7,util=0.61") into the order of the fields. A report that lacks one, or holds an
-// impossible value, gives nil: a wrong value is worse than none.
+// parseLoad parses a load report ("inflight=7,util=0.61") and returns the values in the order of the fields. It returns nil for a
+// report that lacks a field or contains an impossible value, because a wrong value is worse than none.
 func parseLoad(text string, fields []string) []float32 {
 	if text == "" || len(fields) == 0 {
 		return nil
@@ -27,7 +27,6 @@
 	return load
 }
 
-// maxFieldValue returns the largest valid value of a field.
 func maxFieldValue(field string) float64 {
 	if field == "util" {
 		return maxUtilization
--- a/internal/balancer/engine/nameset.go
+++ b/internal/balancer/engine/nameset.go
@@ -6,11 +6,13 @@
 	"silvertrail/internal/base/hashring"
 )
 
-// maxListedNames is how many names are remembered, which takes some 1 MB: three hours of two new ones per second.
+// maxListedNames is the number of names that a nameSet remembers. They take about 1 MB, and cover more than three hours with two new
+// names per second.
 const maxListedNames = 1 << 15
 
-// nameSet remembers the latest names in bounded memory, as 64-bit hashes: an unknown name is taken for a known one with a
-// probability of 1 in 5 x 10^14. All processes have the same hashes, which are handed over.
+// nameSet is a set of the names added last, in bounded memory. It stores 64-bit hashes: the probability that an unknown name is taken
+// for a known one is 1 in 5 x 10^14. All processes compute the same hash of a name, so that hashes can be handed over to another
+// process.
 type nameSet struct {
 	present map[uint64]struct{}
 	latest  *hashring.Ring
--- a/internal/balancer/engine/progress.go
+++ b/internal/balancer/engine/progress.go
@@ -6,12 +6,12 @@
 	"silvertrail/lbpolicy"
 )
 
-// requestIDHeader carries the client's name of a request.
+// requestIDHeader is the header that carries the client's identifier of a request.
 const requestIDHeader = "X-Request-Id"
 
-// A goroutine that reads a response can run late: the whole process was paused, or has too little processor time. The policy,
-// whose timers and events may come first, would take that for a silence of the endpoint. So it asks what has arrived before it
-// gives up an endpoint or an attempt.
+// The goroutine that reads a response can run late: the whole process was paused, or has too little CPU time. The policy's timers and
+// other events may be processed first, and the delay would look like an endpoint that does not respond. The policy therefore asks
+// which responses have arrived before it ejects an endpoint or gives up an attempt.
 
 // ServerProgress implements lbpolicy.Host.
 func (e actions) ServerProgress(id lbpolicy.ServerID) lbpolicy.ServerProgress {
@@ -55,7 +55,8 @@
 		"reason", lbpolicy.HedgeReasons[h.Reason], "waited", h.Waited, "usual_latency", h.UsualLatency, "count", e.hedges[h.Reason])
 }
 
-// waitsSince returns since when an attempt waits for its endpoint; now if it waits for this process.
+// waitsSince returns the time since which an attempt has been waiting for its endpoint. It returns now if the attempt is waiting for
+// this process.
 func (e *Engine) waitsSince(now time.Duration, a *attempt) time.Duration {
 	if since, waits := a.receipt.WaitsSince(); waits {
 		return e.clock.fromTime(since)
@@ -63,8 +64,8 @@
 	return now
 }
 
-// isOver reports whether nothing is to come of an attempt. What has arrived for one that was abandoned counts until its connection
-// is closed.
+// isOver reports whether nothing more can arrive for an attempt. An abandoned attempt is over once it no longer uses a connection,
+// because bytes that arrive until then still show that the endpoint responds.
 func (a *attempt) isOver() bool {
 	if !a.ended || !a.isAbandoned {
 		return a.ended
--- a/internal/balancer/engine/snapshot.go
+++ b/internal/balancer/engine/snapshot.go
@@ -6,20 +6,20 @@
 	"silvertrail/lbpolicy"
 )
 
-// Snapshot is what an engine hands to that of the process that takes over. The JSON names are part of the hand-over protocol.
+// Snapshot is the state that an engine passes to the engine of a successor process. The JSON names are part of the hand-over protocol.
 type Snapshot struct {
 	Policy  lbpolicy.Snapshot `json:"Learnt"`
-	Servers []ServerSnapshot  `json:"Servers"` // of Policy, by name, since IDs and clocks differ between processes
+	Servers []ServerSnapshot  `json:"Servers"` // the servers of Policy, by name, because IDs and clocks differ between processes
 }
 
-// ServerSnapshot is what is known of an endpoint.
+// ServerSnapshot is what the policy has measured of an endpoint, and the endpoint's start time as a Unix time in milliseconds.
 type ServerSnapshot struct {
 	Name    string                  `json:"Name"`
 	SinceMS int64                   `json:"SinceMS"`
 	Policy  lbpolicy.ServerSnapshot `json:"Learnt"`
 }
 
-// Snapshot returns what the policy has measured.
+// Snapshot returns the measurements of the policy.
 func (e *Engine) Snapshot() Snapshot {
 	var snapshot Snapshot
 	e.event(func(now time.Duration) {
--- a/internal/balancer/engine/stream.go
+++ b/internal/balancer/engine/stream.go
@@ -7,10 +7,11 @@
 	"silvertrail/lbpolicy"
 )
 
-// maxUploadTime bounds a streamed body whatever its progress: 32 MiB at half the rate that clients must keep.
+// maxUploadTime is the longest time that a streamed body may take, however it progresses. It suffices for 32 MiB at half the rate that
+// clients must sustain.
 const maxUploadTime = 2048 * time.Second
 
-// uploadBody tells the policy about the progress of a streamed body.
+// uploadBody notifies the policy of the progress of a streamed body.
 type uploadBody struct {
 	upstream.RequestStream
 	engine  *Engine
@@ -18,7 +19,8 @@
 	attempt *attempt
 }
 
-// Acquire implements upstream.RequestStream. It tells the policy that no further attempt is possible: the body is consumed.
+// Acquire implements upstream.RequestStream. It notifies the policy that the request cannot be replayed, because the body is about to
+// be consumed.
 func (u *uploadBody) Acquire() bool {
 	if !u.RequestStream.Acquire() {
 		return false
@@ -27,14 +29,14 @@
 	return true
 }
 
-// MarkForwarded implements upstream.RequestStream. It starts the request's own time, and the wait for the endpoint.
+// MarkForwarded implements upstream.RequestStream. From then on, the request's deadline counts and the attempt waits for the endpoint.
 func (u *uploadBody) MarkForwarded() {
-	receivedAt := u.ReceivedAt() // before the client is watched, which may read on
+	receivedAt := u.ReceivedAt() // before MarkForwarded starts to watch the client, which may read on
 	u.RequestStream.MarkForwarded()
 	u.engine.event(func(now time.Duration) { u.engine.bodyReceived(now, u.call, u.attempt, receivedAt) })
 }
 
-// bodyReceived sets the deadline of a call whose body has arrived, and is forwarded.
+// bodyReceived sets the deadline of a call whose streamed body has been received and forwarded.
 func (e *Engine) bodyReceived(now time.Duration, c *Call, a *attempt, receivedAt time.Time) {
 	if c.timeLeft == 0 {
 		return
@@ -49,11 +51,12 @@
 	e.setDispatchPending(now, c, a, false)
 }
 
-// streamResponse gives a call a response that is still arriving, and returns once it has ended. Its first bytes end the call
-// for the policy: from then on it belongs to the client, no deadline ends it, and it costs the endpoint only a connection.
+// streamResponse delivers a response whose body is still arriving, and returns once the body has been closed. For the policy, the
+// attempt ends with the first bytes of the response. From then on the client reads the response without a deadline, and the response
+// occupies nothing but a connection of the endpoint.
 func (e *Engine) streamResponse(c *Call, a *attempt, v lbpolicy.Verdict, response *upstream.Response) {
 	stream := response.Stream
-	if v != lbpolicy.OK { // nobody reads the body of a failure
+	if v != lbpolicy.OK { // the body of a failure is not read
 		stream.Close()
 		response.Stream = nil
 		return
