--- a/internal/balancer/engine/attempt.go
+++ b/internal/balancer/engine/attempt.go
@@ -29,9 +29,9 @@
 	ended          bool                 // the policy has been notified of the end, or is being notified
 	isAbandoned    bool                 // ended before its response was returned
 	isReporting    bool                 // the policy is being notified of the response
-	isPending      bool                 // the policy was told that the dispatch is pending: see setDispatchPending
+	isDispatchPending      bool                 // the policy was told that the dispatch is pending: see setDispatchPending
 	neverRan       bool                 // ended with proof that the endpoint did not execute it
-	closed         chan struct{}        // closed when the attempt no longer uses a connection
+	released         chan struct{}        // closed when the attempt no longer uses a connection
 	keyAttempt     *idempotency.Attempt // nil: the request has no idempotency key
 	record         Record               // nil: the attempt is not recorded
 	intentRecorded bool
@@ -95,8 +95,8 @@
 	if response != nil && response.Stream != nil {
 		e.streamResponse(c, a, verdict, response)
 	}
-	close(a.closed)
-	e.event(func(now time.Duration) {
+	close(a.released)
+	e.processEvent(func(now time.Duration) {
 		if a.ended {
 			return
 		}
@@ -111,7 +111,7 @@
 
 // send sends an attempt after its key has been claimed and its intent has been recorded.
 func (e *Engine) send(ctx context.Context, c *Call, a *attempt) (lbpolicy.Verdict, *upstream.Response, error) {
-	if !e.awaitDispatch(ctx, c, a) {
+	if !e.prepareDispatch(ctx, c, a) {
 		return lbpolicy.NotSent, nil, errNotSent
 	}
 	e.mu.Lock()
@@ -123,17 +123,17 @@
 	return a.pool.Do(ctx, &r, &a.receipt, func() bool { return e.claimDispatch(c, a) })
 }
 
-// mayStart reports whether an attempt may still be sent. While its connection was being established, the attempt may have been
+// mayDispatch reports whether an attempt may still be sent. While its connection was being established, the attempt may have been
 // abandoned, its call may have received its result, its endpoint may have started to drain, been removed or changed its address,
 // or the retry window of its key may have ended. The caller holds the lock.
-func (e *Engine) mayStart(now time.Time, c *Call, a *attempt) bool {
+func (e *Engine) mayDispatch(now time.Time, c *Call, a *attempt) bool {
 	if a.ended || c.done || !now.Before(c.request.Deadline) {
 		return false
 	}
 	if a.server.State != lbpolicy.Ready || a.server.manuallyEjected || a.server.pool != a.pool {
 		return false
 	}
-	return a.keyAttempt == nil || e.keyAllows(now, c, a)
+	return a.keyAttempt == nil || e.keyAllowsDispatch(now, c, a)
 }
 
 // actions implements lbpolicy.Host. The balancer calls its methods while an event is processed, with the lock held.
@@ -150,9 +150,9 @@
 		server: e.endpoints[s],
 		sentAt: e.clock.now(),
 		cancel: func() {},
-		closed: make(chan struct{}),
+		released: make(chan struct{}),
 	}
-	earlier := c.abandonedAttempts()
+	earlier := c.endedAttemptReleases()
 	c.attempts = append(c.attempts, a)
 	isShutDown := !e.shutdownAt.IsZero() && !time.Now().Before(e.shutdownAt)
 	if a.server == nil || c.done || isShutDown || !e.reserveKey(c, a) {
@@ -165,18 +165,18 @@
 	if c.key != nil && c.key.Recorder != nil {
 		a.record = c.key.Recorder.Attempt(a.server.name)
 	}
-	if c.request.Stream != nil && c.timeLeft > 0 { // a server that waits for the rest of the client's body is not unresponsive
+	if c.request.Stream != nil && c.timeLeftAfterBody > 0 { // a server that waits for the rest of the client's body is not unresponsive
 		e.pendingEvents = append(e.pendingEvents, func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
 	}
 	go e.runAttempt(ctx, c, a, earlier)
 }
 
-// abandonedAttempts returns the channels that are closed when the attempts that have ended no longer use a connection.
-func (c *Call) abandonedAttempts() []chan struct{} {
+// endedAttemptReleases returns the channels that are closed when the attempts that have ended no longer use a connection.
+func (c *Call) endedAttemptReleases() []chan struct{} {
 	var closed []chan struct{}
 	for _, a := range c.attempts {
 		if a.ended {
-			closed = append(closed, a.closed)
+			closed = append(closed, a.released)
 		}
 	}
 	return closed
@@ -187,7 +187,7 @@
 	if a.server == nil {
 		a.server = &endpoint{Server: lbpolicy.Server{ID: s}}
 	}
-	close(a.closed)
+	close(a.released)
 	e.pendingEvents = append(e.pendingEvents, func(now time.Duration) { e.abandon(now, c, a, lbpolicy.NotSent) })
 }
 
@@ -223,13 +223,13 @@
 }
 
 // Watch implements lbpolicy.Host.
-func (e actions) Watch() { e.watch() }
+func (e actions) Watch() { e.pollDiscovery() }
 
 // SetTimer implements lbpolicy.Host. If the token is the ID of a call, the timer replaces the earlier one of the call and is stopped
 // when the call is released. All other timers belong to the policy itself, which has one pending at a time.
 func (e actions) SetTimer(at time.Duration, token uint64) {
 	timer := time.AfterFunc(at-e.clock.now(), func() {
-		e.event(func(now time.Duration) { e.balancer.Timer(now, token) })
+		e.processEvent(func(now time.Duration) { e.balancer.Timer(now, token) })
 	})
 	if c := e.calls[lbpolicy.RequestID(token)]; c != nil {
 		if c.checkTimer != nil {
--- a/internal/balancer/engine/call.go
+++ b/internal/balancer/engine/call.go
@@ -22,9 +22,9 @@
 	deadlineTimer    *time.Timer
 	checkTimer       *time.Timer // set by the policy
 	lastResponse     *upstream.Response
-	timeLeft         time.Duration // the time allowed after the last byte of a streamed body; zero when no byte is awaited
+	timeLeftAfterBody         time.Duration // the time allowed after the last byte of a streamed body; zero when no byte is awaited
 	outOfDescriptors bool          // an attempt failed because this process had no free file descriptor
-	isClientGone     func() bool   // nil: the connection of the client cannot be checked
+	isDisconnected     func() bool   // nil: the connection of the client cannot be checked
 }
 
 // Result is the final result of a call. Each call has at most one.
@@ -51,8 +51,8 @@
 }
 
 func (e *Engine) begin(r upstream.Request, q lbpolicy.Request, key *Key, isClientGone func() bool) *Call {
-	c := &Call{request: r, class: q.Class, key: key, result: make(chan Result, 1), isClientGone: isClientGone}
-	e.event(func(now time.Duration) { e.start(now, c, q) })
+	c := &Call{request: r, class: q.Class, key: key, result: make(chan Result, 1), isDisconnected: isClientGone}
+	e.processEvent(func(now time.Duration) { e.start(now, c, q) })
 	return c
 }
 
@@ -63,7 +63,7 @@
 	q.TimeLeft = e.limitToShutdown(q.TimeLeft)
 	timeout := q.TimeLeft
 	if c.request.Stream != nil { // TimeLeft counts from the last byte; until then the upload is bounded by the progress of both sides
-		c.timeLeft, timeout = q.TimeLeft, maxUploadTime
+		c.timeLeftAfterBody, timeout = q.TimeLeft, maxUploadTime
 		c.request.TimeLeft = q.TimeLeft
 	}
 	c.request.Deadline = time.Now().Add(timeout)
@@ -117,7 +117,7 @@
 
 // ClientDisconnected records that the client has disconnected. A result that was available before stays on the channel.
 func (e *Engine) ClientDisconnected(c *Call) {
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		if c.done {
 			return
 		}
@@ -129,14 +129,14 @@
 
 // expire ends the attempts of a call whose deadline has passed.
 func (e *Engine) expire(c *Call) {
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		for _, a := range c.attempts {
 			e.abandon(now, c, a, lbpolicy.Timeout)
 		}
 	})
 	// The policy should have given a result by now. If it has not, the call fails here. A failure does not promise the client that a
 	// retry is harmless.
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		if !c.done {
 			e.log.Error("call without a result at its deadline", "class", c.class)
 			e.finish(c, Result{})
--- a/internal/balancer/engine/disconnect.go
+++ b/internal/balancer/engine/disconnect.go
@@ -32,10 +32,10 @@
 // attempt may still begin.
 const disconnectCheckValidity = 50 * time.Millisecond
 
-// isClientPresent reports whether the client of a call is still connected. If it is not, the policy is notified of that first, so
+// checkClientConnected reports whether the client of a call is still connected. If it is not, the policy is notified of that first, so
 // that it makes no further attempt in place of the one that is not sent.
-func (e *Engine) isClientPresent(c *Call) bool {
-	if c.isClientGone == nil || !c.isClientGone() {
+func (e *Engine) checkClientConnected(c *Call) bool {
+	if c.isDisconnected == nil || !c.isDisconnected() {
 		return true
 	}
 	e.ClientDisconnected(c)
@@ -49,7 +49,7 @@
 func (e *Engine) claimDispatch(c *Call, a *attempt) bool {
 	for {
 		checkedAt := time.Now()
-		if !e.isClientPresent(c) {
+		if !e.checkClientConnected(c) {
 			return false
 		}
 		mayStart, outdated := e.tryClaimDispatch(checkedAt, c, a)
@@ -64,7 +64,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now() // mayStart compares it with the deadline, as the deadline timer may fire late after a pause of the process
-	mayStart = e.mayStart(now, c, a)
+	mayStart = e.mayDispatch(now, c, a)
 	outdated = mayStart && now.Sub(checkedAt) > disconnectCheckValidity
 	a.firstByteSent = mayStart && !outdated
 	return mayStart, outdated
--- a/internal/balancer/engine/disconnect_test.go
+++ b/internal/balancer/engine/disconnect_test.go
@@ -15,59 +15,59 @@
 )
 
 // gate holds what comes to it until it is opened.
-type gate struct{ reached, opened chan struct{} }
+type gate struct{ arrivals, opened chan struct{} }
 
 func newGate() *gate { return &gate{make(chan struct{}, 8), make(chan struct{})} }
 
-// await waits until something has come to it.
-func (g *gate) await(t *testing.T) {
+// awaitArrival waits until something has come to it.
+func (g *gate) awaitArrival(t *testing.T) {
 	t.Helper()
 	select {
-	case <-g.reached:
+	case <-g.arrivals:
 	case <-time.After(lbtest.Wait):
 		t.Fatal("nothing came to the gate")
 	}
 }
 
-func (g *gate) pass() {
-	g.reached <- struct{}{}
+func (g *gate) wait() {
+	g.arrivals <- struct{}{}
 	<-g.opened
 }
 
-// slowRecord is a ledger whose disk takes its time.
-type slowRecord struct{ *gate }
+// blockedRecorder is a ledger whose disk takes its time.
+type blockedRecorder struct{ *gate }
 
-func (s slowRecord) Attempt(string) Record { return s }
+func (s blockedRecorder) Attempt(string) Record { return s }
 
-func (s slowRecord) Intent(context.Context, idempotency.Place) error {
-	s.pass()
+func (s blockedRecorder) Intent(context.Context, idempotency.Place) error {
+	s.wait()
 	return nil
 }
 
-func (s slowRecord) Ended(lbpolicy.Verdict, int) {}
+func (s blockedRecorder) Ended(lbpolicy.Verdict, int) {}
 
-// slowVoters agree to whatever they are asked, late.
-type slowVoters struct {
+// blockedClaimer agree to whatever they are asked, late.
+type blockedClaimer struct {
 	*gate
-	to atomic.Pointer[idempotency.Place]
+	claimed atomic.Pointer[idempotency.Place]
 }
 
-func (s *slowVoters) IsActive() bool { return true }
+func (s *blockedClaimer) IsActive() bool { return true }
 
-func (s *slowVoters) Claim(_ context.Context, to idempotency.Place) {
-	s.pass()
-	s.to.Store(&to)
+func (s *blockedClaimer) Claim(_ context.Context, to idempotency.Place) {
+	s.wait()
+	s.claimed.Store(&to)
 }
 
-func (s *slowVoters) KeyState() idempotency.KeyState {
-	if to := s.to.Load(); to != nil {
+func (s *blockedClaimer) KeyState() idempotency.KeyState {
+	if to := s.claimed.Load(); to != nil {
 		return idempotency.KeyState{Known: true, Place: *to, RetryUntil: time.Now().Add(time.Minute)}
 	}
 	return idempotency.KeyState{}
 }
 
-// keyed begins a keyed request whose caller leaves as told.
-func keyed(t *testing.T, h *Engine, away func() bool, binder Claimer, recorder Recorder) (*Call, *idempotency.Request) {
+// beginKeyed begins a beginKeyed request whose caller leaves as told.
+func beginKeyed(t *testing.T, h *Engine, away func() bool, binder Claimer, recorder Recorder) (*Call, *idempotency.Request) {
 	t.Helper()
 	hold, err := idempotency.New(8).Begin(time.Now(), idempotency.KeyIDOf("acme", "k"), idempotency.Fingerprint{})
 	if err != nil {
@@ -80,23 +80,23 @@
 
 // A caller that leaves while voters are asked, or while an attempt is recorded, has nothing sent, and its key is free: no
 // attempt of it may have run. Its goroutine ends, and the server is not blamed.
-func TestLeftWhileAgreed(t *testing.T) {
+func TestDisconnectDuringClaimOrRecordSendsNothing(t *testing.T) {
 	t.Parallel()
 	for name, slow := range map[string]func(*gate) (Claimer, Recorder){
-		"voters": func(g *gate) (Claimer, Recorder) { return &slowVoters{gate: g}, nil },
-		"ledger": func(g *gate) (Claimer, Recorder) { return nil, slowRecord{g} },
+		"voters": func(g *gate) (Claimer, Recorder) { return &blockedClaimer{gate: g}, nil },
+		"ledger": func(g *gate) (Claimer, Recorder) { return nil, blockedRecorder{g} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var got atomic.Int64
 			e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-			h := newHost(t)
-			h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
+			h := newEngine(t)
+			h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
 			g := newGate()
 			var left atomic.Bool
 			binder, recorder := slow(g)
-			_, hold := keyed(t, h, left.Load, binder, recorder)
-			g.await(t)
+			_, hold := beginKeyed(t, h, left.Load, binder, recorder)
+			g.awaitArrival(t)
 			left.Store(true)
 			close(g.opened)
 			lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
@@ -106,7 +106,7 @@
 			if hold.MayHaveRun() {
 				t.Error("its key is held for an attempt that never went out")
 			}
-			if a := answer(t, get(h, "stays", lbtest.Wait)); a.Response == nil {
+			if a := awaitResult(t, beginGet(h, "stays", lbtest.Wait)); a.Response == nil {
 				t.Errorf("the endpoint serves others no more: %+v", a)
 			}
 		})
@@ -114,28 +114,28 @@
 }
 
 // A caller that leaves while an attempt waits for the one before it to get off its connection has nothing more sent.
-func TestLeftBehindAttempt(t *testing.T) {
+func TestDisconnectWhileWaitingForEarlierAttemptSendsNothing(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
 	serve := func(a *lbtest.Arrival) { got.Add(1); a.OK() }
 	first, second := lbtest.NewEndpoint(t, serve), lbtest.NewEndpoint(t, serve)
-	h := newHost(t)
-	two := entry(second.Addr, "ready")
+	h := newEngine(t)
+	two := listEntry(second.Addr, "ready")
 	two.Name = "s2"
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(first.Addr, "ready"), two})
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready"), two})
 	g := newGate()
 	var left, held atomic.Bool
 	away := func() bool {
 		if held.CompareAndSwap(false, true) { // the first attempt, on its connection
-			g.pass()
+			g.wait()
 			return false
 		}
 		return left.Load()
 	}
 	r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
 	c := h.begin(r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil, away)
-	g.await(t)
-	h.event(func(now time.Duration) { h.abandon(now, c, c.attempts[0], lbpolicy.Cancelled) })
+	g.awaitArrival(t)
+	h.processEvent(func(now time.Duration) { h.abandon(now, c, c.attempts[0], lbpolicy.Cancelled) })
 	h.mu.Lock()
 	n := len(c.attempts)
 	h.mu.Unlock()
@@ -151,12 +151,12 @@
 }
 
 // The request of a caller that has left before it is begun is no call for the decisions.
-func TestLeftBefore(t *testing.T) {
+func TestDisconnectBeforeCallStartsNothing(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-	h := newHost(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
+	h := newEngine(t)
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ctx = WithDisconnectCheck(ctx, func() bool { cancel(); return true })
@@ -169,55 +169,55 @@
 	}
 }
 
-// unnoticed is a context that has ended, and whose end nobody who waits for it has been told of yet: as when the whole process
+// undetectedCancelContext is a context that has ended, and whose end nobody who waits for it has been told of yet: as when the whole process
 // has stood still, or as a stream between salas is reset in the moment in which a connection comes up.
-type unnoticed struct {
+type undetectedCancelContext struct {
 	context.Context
 	ended atomic.Bool
-	told  chan struct{}
+	done  chan struct{}
 }
 
-func (u *unnoticed) Done() <-chan struct{} { return u.told }
+func (u *undetectedCancelContext) Done() <-chan struct{} { return u.done }
 
-func (u *unnoticed) Err() error {
+func (u *undetectedCancelContext) Err() error {
 	if u.ended.Load() {
 		return context.Canceled
 	}
 	return nil
 }
 
-// dialled is a host with one endpoint, whose connections wait at a gate.
-func dialled(t *testing.T) (h *Engine, g *gate, got *atomic.Int64) {
+// newEngineWithBlockedDials is a host with one endpoint, whose connections wait at a gate.
+func newEngineWithBlockedDials(t *testing.T) (h *Engine, g *gate, got *atomic.Int64) {
 	t.Helper()
 	got = &atomic.Int64{}
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-	h, g = newHost(t), newGate()
+	h, g = newEngine(t), newGate()
 	h.client.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		g.pass()
+		g.wait()
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}
 	h.client.SetDialTimeout(lbtest.Wait)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
 	return h, g, got
 }
 
 // An end that the call's own goroutine has not noticed yet counts at the claim too, whoever brings the request: a caller
 // across a link has nothing but its context.
-func TestLeftByContextAlone(t *testing.T) {
+func TestUndetectedContextCancelSendsNothing(t *testing.T) {
 	t.Parallel()
-	h, g, got := dialled(t)
-	ctx := &unnoticed{Context: t.Context(), told: make(chan struct{})}
+	h, g, got := newEngineWithBlockedDials(t)
+	ctx := &undetectedCancelContext{Context: t.Context(), done: make(chan struct{})}
 	over := make(chan bool, 1)
 	go func() {
 		r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
 		_, ok := h.Do(ctx, r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil)
 		over <- ok
 	}()
-	g.await(t)
+	g.awaitArrival(t)
 	ctx.ended.Store(true)
 	close(g.opened)
 	lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
-	close(ctx.told)
+	close(ctx.done)
 	if <-over {
 		t.Error("answered")
 	}
@@ -228,9 +228,9 @@
 
 // A look at the caller that is old by the time the decisions' lock is had is made again: the caller may have left meanwhile.
 // The lock is held here until the first look is too old.
-func TestLeftBehindLock(t *testing.T) {
+func TestOutdatedDisconnectCheckIsRepeated(t *testing.T) {
 	t.Parallel()
-	h, g, got := dialled(t)
+	h, g, got := newEngineWithBlockedDials(t)
 	var left atomic.Bool
 	asked := make(chan struct{}, 8)
 	away := func() bool {
@@ -239,7 +239,7 @@
 	}
 	r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
 	h.begin(r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil, away)
-	g.await(t)
+	g.awaitArrival(t)
 	h.mu.Lock()
 	close(g.opened)
 	select {
--- a/internal/balancer/engine/ejection.go
+++ b/internal/balancer/engine/ejection.go
@@ -13,7 +13,7 @@
 // but have not sent their first byte. For an endpoint that was never listed it returns ErrUnknownEndpoint.
 func (e *Engine) SetManuallyEjected(name string, ejected bool) error {
 	err := ErrUnknownEndpoint
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		id, wasEjected := e.manuallyEjected[name]
 		if !wasEjected {
 			id = e.serverID(name)
--- a/internal/balancer/engine/endpoints.go
+++ b/internal/balancer/engine/endpoints.go
@@ -21,12 +21,12 @@
 	entry           endpointlist.Endpoint // the latest valid entry of the list
 }
 
-// states maps the statuses of the discovery service to the states of the policy.
-var states = map[string]lbpolicy.State{"ready": lbpolicy.Ready, "draining": lbpolicy.Draining, "gone": lbpolicy.Removed}
+// statesByStatus maps the statuses of the discovery service to the statesByStatus of the policy.
+var statesByStatus = map[string]lbpolicy.State{"ready": lbpolicy.Ready, "draining": lbpolicy.Draining, "gone": lbpolicy.Removed}
 
 // UpdateEndpoints applies an endpoint list. Invalid entries are ignored.
 func (e *Engine) UpdateEndpoints(kind lbpolicy.ListKind, entries []endpointlist.Endpoint) {
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		servers := make([]lbpolicy.Server, 0, len(entries))
 		present := make(map[lbpolicy.ServerID]bool, len(entries))
 		for _, entry := range entries {
@@ -51,7 +51,7 @@
 // updateEndpoint applies one entry of a list. It returns an error for an invalid entry, apart from those whose status alone is
 // usable.
 func (e *Engine) updateEndpoint(entry endpointlist.Endpoint) (lbpolicy.Server, error) {
-	state, known := states[entry.Status]
+	state, known := statesByStatus[entry.Status]
 	if !known || entry.Name == "" {
 		return lbpolicy.Server{}, fmt.Errorf("endpoint %q: status %q", entry.Name, entry.Status)
 	}
--- a/internal/balancer/engine/engine.go
+++ b/internal/balancer/engine/engine.go
@@ -21,7 +21,7 @@
 	log    *slog.Logger
 	client *upstream.Client
 	clock  clock
-	watch  func() // polls the discovery service
+	pollDiscovery  func() // polls the discovery service
 
 	mu              sync.Mutex // guards the fields below, and all calls, attempts and endpoints
 	zones           []string
@@ -57,7 +57,7 @@
 		clock:           clock{time.Now()},
 		zones:           o.Zones,
 		reportFields:    o.ReportFields,
-		watch:           o.Watch,
+		pollDiscovery:           o.Watch,
 		classes:         o.Policy.Classes,
 		calls:           map[lbpolicy.RequestID]*Call{},
 		endpoints:       map[lbpolicy.ServerID]*endpoint{},
@@ -69,22 +69,22 @@
 	return e, err
 }
 
-// event processes an event, and then the events that its actions cause.
-func (e *Engine) event(f func(now time.Duration)) {
+// processEvent processes an processEvent, and then the events that its actions cause.
+func (e *Engine) processEvent(f func(now time.Duration)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.handleEvent(f)
+	e.runEventHandler(f)
 	for len(e.pendingEvents) > 0 {
 		next := e.pendingEvents[0]
 		e.pendingEvents = e.pendingEvents[1:]
-		e.handleEvent(next)
+		e.runEventHandler(next)
 	}
 	e.pendingEvents = nil
 }
 
-// handleEvent runs the handler of one event. A panic ends that handler, but not the process with all its requests: it is logged.
+// runEventHandler runs the handler of one event. A panic ends that handler, but not the process with all its requests: it is logged.
 // Calls that the event would have ended then end at their deadlines (see expire).
-func (e *Engine) handleEvent(f func(now time.Duration)) {
+func (e *Engine) runEventHandler(f func(now time.Duration)) {
 	defer func() {
 		if p := recover(); p != nil {
 			e.log.Error("decision failed", "panic", p, "stack", string(debug.Stack()))
@@ -95,7 +95,7 @@
 
 // ShutDownBy sets the time by which all calls must have their result, those that still arrive included.
 func (e *Engine) ShutDownBy(at time.Time) {
-	e.event(func(time.Duration) {
+	e.processEvent(func(time.Duration) {
 		e.shutdownAt = at
 		for _, c := range e.calls {
 			if c.request.Deadline.After(at) {
@@ -115,12 +115,12 @@
 
 // SetBalancers sets the number of balancers that share the endpoints, and the index of this one among them.
 func (e *Engine) SetBalancers(balancers, index int) {
-	e.event(func(now time.Duration) { e.balancer.SetBalancers(now, balancers, index) })
+	e.processEvent(func(now time.Duration) { e.balancer.SetBalancers(now, balancers, index) })
 }
 
 // SetDropFraction sets the fraction of the traffic that is rejected at any load, the lowest priority weight first.
 func (e *Engine) SetDropFraction(fraction float64) {
-	e.event(func(now time.Duration) { e.balancer.SetDropFraction(now, fraction) })
+	e.processEvent(func(now time.Duration) { e.balancer.SetDropFraction(now, fraction) })
 }
 
 // InFlight returns the number of calls that are waiting for their result or for the end of an attempt.
@@ -131,4 +131,4 @@
 }
 
 // Synchronize calls f while no event is processed: no attempt begins or ends meanwhile.
-func (e *Engine) Synchronize(f func()) { e.event(func(time.Duration) { f() }) }
+func (e *Engine) Synchronize(f func()) { e.processEvent(func(time.Duration) { f() }) }
--- a/internal/balancer/engine/engine_test.go
+++ b/internal/balancer/engine/engine_test.go
@@ -14,12 +14,12 @@
 	"silvertrail/lbpolicy"
 )
 
-func newHost(t *testing.T) *Engine {
+func newEngine(t *testing.T) *Engine {
 	t.Helper()
-	return newLoggedHost(t, io.Discard)
+	return newEngineWithLog(t, io.Discard)
 }
 
-func newLoggedHost(t *testing.T, log io.Writer) *Engine {
+func newEngineWithLog(t *testing.T, log io.Writer) *Engine {
 	t.Helper()
 	c, err := config.Load(lbtest.WriteConfig(t, "", "127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
@@ -33,16 +33,16 @@
 	return h
 }
 
-func entry(address, status string) endpointlist.Endpoint {
+func listEntry(address, status string) endpointlist.Endpoint {
 	return endpointlist.Endpoint{Name: "s", Address: address, Zone: "a", Status: status}
 }
 
-func get(h *Engine, id string, left time.Duration) *Call {
+func beginGet(h *Engine, id string, left time.Duration) *Call {
 	return h.Begin(upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {id}}},
 		lbpolicy.Request{Class: 0, TimeLeft: left}, nil)
 }
 
-func answer(t *testing.T, c *Call) Result {
+func awaitResult(t *testing.T, c *Call) Result {
 	t.Helper()
 	select {
 	case a := <-c.Result():
@@ -54,20 +54,20 @@
 }
 
 // A fault in a decision ends neither the process nor the answer that a caller is owed.
-func TestDecisionFails(t *testing.T) {
+func TestPanicInEventStillGivesResult(t *testing.T) {
 	e := lbtest.NewEndpoint(t, nil)
-	h := newHost(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
-	held := get(h, "one", 2*time.Second)
+	h := newEngine(t)
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
+	held := beginGet(h, "one", 2*time.Second)
 	<-e.Arrivals
-	h.event(func(time.Duration) { panic("a fault") })
+	h.processEvent(func(time.Duration) { panic("a fault") })
 	h.mu.Lock()
 	h.balancer = nil // every decision from now on fails
 	h.mu.Unlock()
-	if a := answer(t, held); a.Response != nil || a.Rejected {
+	if a := awaitResult(t, held); a.Response != nil || a.Rejected {
 		t.Errorf("got %+v", a)
 	}
-	if a := answer(t, get(h, "two", time.Millisecond)); a.Response != nil || a.Rejected {
+	if a := awaitResult(t, beginGet(h, "two", time.Millisecond)); a.Response != nil || a.Rejected {
 		t.Errorf("got %+v", a)
 	}
 	lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
@@ -75,12 +75,12 @@
 
 // Whatever else can't be read of it, an endpoint that drains gets nothing new; nor does one at the address that the
 // list gave before.
-func TestDrains(t *testing.T) {
+func TestDrainingOrMovedEndpointGetsNoAttempt(t *testing.T) {
 	first := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	second := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	h := newHost(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(first.Addr, "ready")})
-	if a := answer(t, get(h, "one", lbtest.Wait)); a.Response == nil {
+	h := newEngine(t)
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready")})
+	if a := awaitResult(t, beginGet(h, "one", lbtest.Wait)); a.Response == nil {
 		t.Fatal("not served")
 	}
 	h.mu.Lock()
@@ -99,19 +99,19 @@
 	if h.claimDispatch(&Call{request: upstream.Request{Deadline: time.Now()}}, stale) {
 		t.Error("an attempt may go out when the deadline is over, as after a pause of the process")
 	}
-	h.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{entry(second.Addr, "ready")})
+	h.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{listEntry(second.Addr, "ready")})
 	if h.claimDispatch(&Call{request: whole}, stale) {
 		t.Error("an attempt may go out to the old address")
 	}
-	h.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{entry("nowhere", "draining")})
-	if a := answer(t, get(h, "two", lbtest.Wait)); !a.Rejected {
+	h.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{listEntry("nowhere", "draining")})
+	if a := awaitResult(t, beginGet(h, "two", lbtest.Wait)); !a.Rejected {
 		t.Errorf("sent to an endpoint that drains: %+v", a)
 	}
 }
 
 // A call with less time than its class takes is refused at once and sent nowhere, so that it costs no tier any work;
 // one with enough time is served as ever.
-func TestTooLittleTime(t *testing.T) {
+func TestCallWithTooLittleTimeIsRejected(t *testing.T) {
 	t.Parallel()
 	const takes, short = 400 * time.Millisecond, 300 * time.Millisecond
 	var got atomic.Int64
@@ -120,26 +120,26 @@
 		time.Sleep(takes) // more does no harm
 		a.OK()
 	})
-	h := newHost(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
+	h := newEngine(t)
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
 	for range 8 { // long enough for the quiet latency to be learnt too
 		var calls []*Call
 		for range 4 {
-			calls = append(calls, get(h, "long", lbtest.Wait))
+			calls = append(calls, beginGet(h, "long", lbtest.Wait))
 		}
 		for _, c := range calls {
-			if a := answer(t, c); a.Response == nil {
+			if a := awaitResult(t, c); a.Response == nil {
 				t.Fatalf("not served: %+v", a)
 			}
 		}
 	}
 	before := got.Load()
 	for range 5 {
-		if a := answer(t, get(h, "short", short)); !a.Rejected || a.RetryAfter != 0 {
+		if a := awaitResult(t, beginGet(h, "short", short)); !a.Rejected || a.RetryAfter != 0 {
 			t.Errorf("got %+v", a)
 		}
 	}
-	if a := answer(t, get(h, "last", lbtest.Wait)); a.Response == nil {
+	if a := awaitResult(t, beginGet(h, "last", lbtest.Wait)); a.Response == nil {
 		t.Errorf("not served: %+v", a)
 	}
 	if n := got.Load() - before; n != 1 {
@@ -149,17 +149,17 @@
 
 // Callers in a hurry put no server out: each of them has waited for less than an answer usually takes. Calls that
 // together have waited long do.
-func TestHurryIsNoSilence(t *testing.T) {
+func TestShortDeadlinesEjectNoEndpoint(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, nil)
 	var log lbtest.Log
-	h := newLoggedHost(t, &log)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
+	h := newEngineWithLog(t, &log)
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
 	for range 2 {
-		c := get(h, "hurried", 700*time.Millisecond) // the decisions start from a latency of 1.25 s
+		c := beginGet(h, "hurried", 700*time.Millisecond) // the decisions start from a latency of 1.25 s
 		select {
 		case held := <-e.Arrivals:
-			answer(t, c)
+			awaitResult(t, c)
 			held.Close()
 		case <-time.After(lbtest.Wait):
 			t.Fatalf("not sent: %s", log.String())
@@ -169,10 +169,10 @@
 		t.Errorf("put out for callers in a hurry: %s", log.String())
 	}
 	for range 12 {
-		get(h, "patient", lbtest.Wait)
+		beginGet(h, "patient", lbtest.Wait)
 	}
 	lbtest.Until(t, "a silent server out", func() bool {
-		get(h, "another", time.Millisecond) // decisions come with events
+		beginGet(h, "another", time.Millisecond) // decisions come with events
 		return log.Contains("silent")
 	})
 }
--- a/internal/balancer/engine/key.go
+++ b/internal/balancer/engine/key.go
@@ -98,10 +98,10 @@
 // cause the wait.
 const slowRecordDelay = 5 * time.Millisecond
 
-// awaitDispatch claims the key of an attempt, and records its intent. It is false if the attempt must not be sent: another process
+// prepareDispatch claims the key of an attempt, and records its intent. It is false if the attempt must not be sent: another process
 // has claimed the key first, the claim was not confirmed in time, or the intent could not be recorded. The policy gets the state of
 // the key with the end of the attempt.
-func (e *Engine) awaitDispatch(ctx context.Context, c *Call, a *attempt) bool {
+func (e *Engine) prepareDispatch(ctx context.Context, c *Call, a *attempt) bool {
 	if c.key == nil {
 		return true
 	}
@@ -116,12 +116,12 @@
 // claimKey claims the key of an attempt in all processes. It reports whether the claim covers the place of the endpoint afterwards.
 func (e *Engine) claimKey(ctx context.Context, c *Call, a *attempt) (claimed bool) {
 	var to idempotency.Place
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		to = e.place(c, a.server)
 		e.setDispatchPending(now, c, a, true)
 	})
 	c.key.Claimer.Claim(ctx, to)
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		e.setDispatchPending(now, c, a, false)
 		claimed = e.isClaimValid(time.Now(), c, e.place(c, a.server))
 	})
@@ -134,11 +134,11 @@
 	to := e.place(c, a.server)
 	e.mu.Unlock()
 	slow := time.AfterFunc(slowRecordDelay, func() {
-		e.event(func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
+		e.processEvent(func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
 	})
 	err := a.record.Intent(ctx, to)
 	if !slow.Stop() {
-		e.event(func(now time.Duration) { e.setDispatchPending(now, c, a, false) })
+		e.processEvent(func(now time.Duration) { e.setDispatchPending(now, c, a, false) })
 	}
 	e.mu.Lock()
 	a.sentAt = e.clock.now() // the wait for the record does not count as latency of the endpoint
@@ -156,15 +156,15 @@
 	if a.ended || pending && a.intentRecorded {
 		return
 	}
-	a.isPending = pending
+	a.isDispatchPending = pending
 	e.balancer.SetDispatchPending(now, c.id, a.number, pending)
 	if !pending {
 		a.sentAt = now
 	}
 }
 
-// keyAllows reports whether the state of its key lets an attempt start now, at the place to which its endpoint belongs now.
-func (e *Engine) keyAllows(now time.Time, c *Call, a *attempt) bool {
+// keyAllowsDispatch reports whether the state of its key lets an attempt start now, at the place to which its endpoint belongs now.
+func (e *Engine) keyAllowsDispatch(now time.Time, c *Call, a *attempt) bool {
 	at := e.place(c, a.server)
 	return a.keyAttempt.MayStart(now, at) && e.isClaimValid(now, c, at)
 }
--- a/internal/balancer/engine/progress.go
+++ b/internal/balancer/engine/progress.go
@@ -23,11 +23,11 @@
 				continue
 			}
 			progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.isReporting
-			if a.isOver() {
+			if a.isFinished() {
 				continue
 			}
 			progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.receipt.HasArrived()
-			if since := e.waitsSince(now, a); !a.isPending && (progress.WaitsSince == 0 || since < progress.WaitsSince) {
+			if since := e.waitsSince(now, a); !a.isDispatchPending && (progress.WaitsSince == 0 || since < progress.WaitsSince) {
 				progress.WaitsSince = since
 			}
 		}
@@ -64,14 +64,14 @@
 	return now
 }
 
-// isOver reports whether nothing more can arrive for an attempt. An abandoned attempt is over once it no longer uses a connection,
+// isFinished reports whether nothing more can arrive for an attempt. An abandoned attempt is over once it no longer uses a connection,
 // because bytes that arrive until then still show that the endpoint responds.
-func (a *attempt) isOver() bool {
+func (a *attempt) isFinished() bool {
 	if !a.ended || !a.isAbandoned {
 		return a.ended
 	}
 	select {
-	case <-a.closed:
+	case <-a.released:
 		return true
 	default:
 		return false
--- a/internal/balancer/engine/progress_test.go
+++ b/internal/balancer/engine/progress_test.go
@@ -18,44 +18,44 @@
 	"silvertrail/lbpolicy"
 )
 
-// lateConn is a connection whose reader is late: each read waits while the lock is held, before or after it takes bytes from the
+// delayedReadConn is a connection whose reader is late: each read waits while the lock is held, before or after it takes bytes from the
 // socket.
-type lateConn struct {
+type delayedReadConn struct {
 	*net.TCPConn
 	lock  *sync.RWMutex
-	after bool
+	afterRead bool
 }
 
-func (c lateConn) SyscallConn() (syscall.RawConn, error) {
+func (c delayedReadConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return lateRawConn{raw, c}, err
+	return delayedReadRawConn{raw, c}, err
 }
 
-type lateRawConn struct {
+type delayedReadRawConn struct {
 	syscall.RawConn
-	conn lateConn
+	conn delayedReadConn
 }
 
-func (c lateRawConn) wait() {
+func (c delayedReadRawConn) wait() {
 	c.conn.lock.RLock()
 	defer c.conn.lock.RUnlock()
 }
 
-func (c lateRawConn) Read(read func(fd uintptr) bool) error {
+func (c delayedReadRawConn) Read(read func(fd uintptr) bool) error {
 	return c.RawConn.Read(func(fd uintptr) bool {
-		if !c.conn.after {
+		if !c.conn.afterRead {
 			c.wait()
 		}
 		done := read(fd)
-		if done && c.conn.after {
+		if done && c.conn.afterRead {
 			c.wait()
 		}
 		return done
 	})
 }
 
-// lateReaders is an engine whose goroutines read responses only while the lock is free.
-func lateReaders(t testing.TB, log *lbtest.Log, lock *sync.RWMutex, after bool, maxConns int) *Engine {
+// newEngineWithDelayedReads is an engine whose goroutines read responses only while the lock is free.
+func newEngineWithDelayedReads(t testing.TB, log *lbtest.Log, lock *sync.RWMutex, after bool, maxConns int) *Engine {
 	t.Helper()
 	const objective = time.Second // an endpoint is silent after half of it
 	c, err := config.Load(lbtest.WriteConfig(t, "", "127.0.0.1:1", "127.0.0.1:1"))
@@ -70,7 +70,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return lateConn{conn.(*net.TCPConn), lock, after}, nil
+		return delayedReadConn{conn.(*net.TCPConn), lock, after}, nil
 	}
 	client := upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: maxConns, Dial: dial})
 	h, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, Watch: func() {}, Client: client,
@@ -83,7 +83,7 @@
 
 // Endpoints whose answers have arrived, and are read late, are not ejected and their requests not hedged; one that hangs is
 // found meanwhile (docs/incidents/answers-read-late.md).
-func TestLateReaderEjectsNoEndpoint(t *testing.T) {
+func TestDelayedReadsEjectOnlyUnresponsiveEndpoint(t *testing.T) {
 	t.Parallel()
 	for _, after := range []bool{false, true} {
 		t.Run(fmt.Sprintf("late after the read %t", after), func(t *testing.T) {
@@ -91,7 +91,7 @@
 			const requests = 9
 			var log lbtest.Log
 			var lock sync.RWMutex
-			h := lateReaders(t, &log, &lock, after, 64)
+			h := newEngineWithDelayedReads(t, &log, &lock, after, 64)
 			var mu sync.Mutex
 			arrivals := map[string]int{}
 			hung := map[string]bool{}
@@ -115,7 +115,7 @@
 			calls := map[string]*Call{}
 			for i := range requests {
 				id := fmt.Sprint("r", i)
-				calls[id] = get(h, id, lbtest.Wait)
+				calls[id] = beginGet(h, id, lbtest.Wait)
 			}
 			lbtest.Until(t, "each request is at an endpoint", func() bool {
 				mu.Lock()
@@ -124,13 +124,13 @@
 			})
 			hangs := fmt.Sprintf("server %d out: silent", h.serverID("s0"))
 			lbtest.Until(t, "the endpoint that hangs is ejected", func() bool {
-				get(h, "another", time.Millisecond) // decisions come with events
+				beginGet(h, "another", time.Millisecond) // decisions come with events
 				return log.Contains(hangs)
 			})
 			lbtest.Until(t, "its requests are hedged", func() bool { return log.Contains("hedged request") })
 			lock.Unlock()
 			for id, c := range calls {
-				if a := answer(t, c); a.Response == nil {
+				if a := awaitResult(t, c); a.Response == nil {
 					t.Errorf("%s: %+v", id, a)
 				}
 			}
@@ -157,12 +157,12 @@
 	const requests = 200
 	var log lbtest.Log
 	var lock sync.RWMutex
-	h := lateReaders(b, &log, &lock, false, 4*requests)
+	h := newEngineWithDelayedReads(b, &log, &lock, false, 4*requests)
 	arrived := make(chan struct{}, requests)
 	e := lbtest.NewEndpoint(b, func(*lbtest.Arrival) { arrived <- struct{}{} })
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{entry(e.Addr, "ready")})
+	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
 	for i := range requests {
-		get(h, fmt.Sprint("r", i), lbtest.Wait)
+		beginGet(h, fmt.Sprint("r", i), lbtest.Wait)
 	}
 	for range requests {
 		<-arrived
--- a/internal/balancer/engine/resets_test.go
+++ b/internal/balancer/engine/resets_test.go
@@ -16,18 +16,18 @@
 	"silvertrail/lbpolicy"
 )
 
-// nodos are endpoints of two zones that count what runs on them.
-type nodos struct {
+// zoneServers are endpoints of two zones that count what runs on them.
+type zoneServers struct {
 	mu    sync.Mutex
-	ran   []string // zones, in the order in which requests came whole
-	reset int      // so many reset their connection, the first ones
+	executedIn   []string // zones, in the order in which requests came whole
+	resets int      // so many reset their connection, the first ones
 }
 
-func (n *nodos) serve(zone string) func(*lbtest.Arrival) {
+func (n *zoneServers) serve(zone string) func(*lbtest.Arrival) {
 	return func(a *lbtest.Arrival) {
 		n.mu.Lock()
-		n.ran = append(n.ran, zone)
-		reset := len(n.ran) <= n.reset
+		n.executedIn = append(n.executedIn, zone)
+		reset := len(n.executedIn) <= n.resets
 		n.mu.Unlock()
 		if reset {
 			a.Conn.(*net.TCPConn).SetLinger(0)
@@ -40,7 +40,7 @@
 
 // What resets under a request that has begun may have run. A safe request goes again anywhere, a keyed one within its group,
 // an unsafe one never, and gets a failure, which promises nothing; what no endpoint took goes again, whatever its class.
-func TestResetsByClass(t *testing.T) {
+func TestRetryAfterResetFollowsEffectOfClass(t *testing.T) {
 	t.Parallel()
 	safe := lbpolicy.Class{Name: "safe", LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}
 	keyedZone, unsafe := safe, safe
@@ -68,7 +68,7 @@
 			t.Run(fmt.Sprintf("%s, copies %v", c.name, copies), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(8) { // which endpoint is first is drawn
-					n := &nodos{reset: c.resets}
+					n := &zoneServers{resets: c.resets}
 					conf, err := config.Load(lbtest.WriteConfig(t, "", "127.0.0.1:1", "127.0.0.1:1"))
 					if err != nil {
 						t.Fatal(err)
@@ -98,19 +98,19 @@
 						defer hold.End()
 						key = &Key{History: hold, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}}
 					}
-					a := answer(t, h.Begin(upstream.Request{Method: "POST", Target: "/x", Host: "x", Header: map[string][]string{"X-Request-Id": {"one"}}},
+					a := awaitResult(t, h.Begin(upstream.Request{Method: "POST", Target: "/x", Host: "x", Header: map[string][]string{"X-Request-Id": {"one"}}},
 						lbpolicy.Request{Class: c.class, TimeLeft: lbtest.Wait}, key))
 					lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
 					n.mu.Lock()
 					switch {
 					case c.served != (a.Response != nil), !c.served && c.class > 0 && a.Rejected:
 						t.Errorf("seed %d: answered %+v", seed, a)
-					case len(n.ran) > c.ran || c.resets < 9 && len(n.ran) != c.ran:
-						t.Errorf("seed %d: ran %q, want %d", seed, n.ran, c.ran)
+					case len(n.executedIn) > c.ran || c.resets < 9 && len(n.executedIn) != c.ran:
+						t.Errorf("seed %d: ran %q, want %d", seed, n.executedIn, c.ran)
 					}
-					for _, zone := range n.ran {
-						if c.oneZone && zone != n.ran[0] {
-							t.Errorf("seed %d: ran in %q, out of its group", seed, n.ran)
+					for _, zone := range n.executedIn {
+						if c.oneZone && zone != n.executedIn[0] {
+							t.Errorf("seed %d: ran in %q, out of its group", seed, n.executedIn)
 						}
 					}
 					n.mu.Unlock()
--- a/internal/balancer/engine/settings.go
+++ b/internal/balancer/engine/settings.go
@@ -17,7 +17,7 @@
 // Configure applies new settings. If it returns an error, nothing has changed.
 func (e *Engine) Configure(s Settings) error {
 	err := errors.New("engine: apply settings: the policy panicked") // remains only if the handler does not return
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		if err = e.balancer.Configure(now, s.Policy); err == nil {
 			e.zones, e.reportFields, e.classes = s.Zones, s.ReportFields, s.Policy.Classes
 		}
--- a/internal/balancer/engine/snapshot.go
+++ b/internal/balancer/engine/snapshot.go
@@ -22,7 +22,7 @@
 // Snapshot returns the measurements of the policy.
 func (e *Engine) Snapshot() Snapshot {
 	var snapshot Snapshot
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		snapshot.Policy = e.balancer.Snapshot(now)
 		for _, s := range snapshot.Policy.Servers {
 			if server := e.endpoints[s.ID]; server != nil {
@@ -36,7 +36,7 @@
 
 // Restore applies the snapshot of another process.
 func (e *Engine) Restore(snapshot Snapshot) {
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		policy := snapshot.Policy
 		policy.Servers = nil
 		for _, s := range snapshot.Servers {
--- a/internal/balancer/engine/stream.go
+++ b/internal/balancer/engine/stream.go
@@ -25,7 +25,7 @@
 	if !u.RequestStream.Acquire() {
 		return false
 	}
-	u.engine.event(func(now time.Duration) { u.engine.balancer.MarkNotReplayable(now, u.call.id) })
+	u.engine.processEvent(func(now time.Duration) { u.engine.balancer.MarkNotReplayable(now, u.call.id) })
 	return true
 }
 
@@ -33,16 +33,16 @@
 func (u *uploadBody) MarkForwarded() {
 	receivedAt := u.ReceivedAt() // before MarkForwarded starts to watch the client, which may read on
 	u.RequestStream.MarkForwarded()
-	u.engine.event(func(now time.Duration) { u.engine.bodyReceived(now, u.call, u.attempt, receivedAt) })
+	u.engine.processEvent(func(now time.Duration) { u.engine.bodyReceived(now, u.call, u.attempt, receivedAt) })
 }
 
 // bodyReceived sets the deadline of a call whose streamed body has been received and forwarded.
 func (e *Engine) bodyReceived(now time.Duration, c *Call, a *attempt, receivedAt time.Time) {
-	if c.timeLeft == 0 {
+	if c.timeLeftAfterBody == 0 {
 		return
 	}
-	left := e.limitToShutdown(c.timeLeft - time.Since(receivedAt))
-	c.timeLeft = 0
+	left := e.limitToShutdown(c.timeLeftAfterBody - time.Since(receivedAt))
+	c.timeLeftAfterBody = 0
 	c.request.Deadline = time.Now().Add(left)
 	if !c.done {
 		c.deadlineTimer.Reset(left)
@@ -64,7 +64,7 @@
 	closed := make(chan struct{})
 	stream.OnClose(func() { close(closed) })
 	accepted := false
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		accepted = !a.ended && !c.done
 		if accepted {
 			e.endAttempt(now, c, a, v, response)
