--- a/internal/balancer/engine/attempt.go
+++ b/internal/balancer/engine/attempt.go
@@ -19,41 +19,41 @@
 
 // attempt is one attempt of a call.
 type attempt struct {
-	number         int
-	server         *endpoint
-	pool           *upstream.Pool // connections to the address that the server had when the attempt was decided on
-	sentAt         time.Duration
-	receipt        upstream.Receipt
-	cancel         context.CancelFunc
-	firstByteSent  bool                 // the first byte was sent, or is about to be
-	ended          bool                 // the policy has been notified of the end, or is being notified
-	isAbandoned    bool                 // ended before its response was returned
-	isReporting    bool                 // the policy is being notified of the response
-	isDispatchPending      bool                 // the policy was told that the dispatch is pending: see setDispatchPending
-	neverRan       bool                 // ended with proof that the endpoint did not execute it
-	released         chan struct{}        // closed when the attempt no longer uses a connection
-	keyAttempt     *idempotency.Attempt // nil: the request has no idempotency key
-	record         Record               // nil: the attempt is not recorded
-	intentRecorded bool
+	number            int
+	server            *endpoint
+	pool              *upstream.Pool // connections to the address that the server had when the attempt was decided on
+	sentAt            time.Duration
+	receipt           upstream.Receipt
+	cancel            context.CancelFunc
+	firstByteSent     bool                 // the first byte was sent, or is about to be
+	ended             bool                 // the policy has been notified of the end, or is being notified
+	isAbandoned       bool                 // ended before its response was returned
+	isReporting       bool                 // the policy is being notified of the response
+	isDispatchPending bool                 // the policy was told that the dispatch is pending: see setDispatchPending
+	neverRan          bool                 // ended with proof that the endpoint did not execute it
+	released          chan struct{}        // closed when the attempt no longer uses a connection
+	keyAttempt        *idempotency.Attempt // nil: the request has no idempotency key
+	record            Record               // nil: the attempt is not recorded
+	intentRecorded    bool
 }
 
 // abandon ends an attempt before its response is returned. An attempt whose first byte was not sent ends as NotSent, as it will
 // never run.
-func (e *Engine) abandon(now time.Duration, c *Call, a *attempt, v lbpolicy.Verdict) {
+func (e *Engine) abandon(now time.Duration, c *Call, a *attempt, verdict lbpolicy.Verdict) {
 	if a.ended {
 		return
 	}
 	if !a.firstByteSent {
-		v = lbpolicy.NotSent
+		verdict = lbpolicy.NotSent
 	}
 	a.isAbandoned = true
-	e.endAttempt(now, c, a, v, nil) // before the cancellation, as the policy may ask which bytes have arrived
+	e.endAttempt(now, c, a, verdict, nil) // before the cancellation, as the policy may ask which bytes have arrived
 	a.cancel()
 }
 
 // endAttempt notifies the policy of the end of an attempt. The first successful response becomes the call's result.
-func (e *Engine) endAttempt(now time.Duration, c *Call, a *attempt, v lbpolicy.Verdict, response *upstream.Response) {
-	a.ended, a.neverRan = true, v.NeverRan()
+func (e *Engine) endAttempt(now time.Duration, c *Call, a *attempt, verdict lbpolicy.Verdict, response *upstream.Response) {
+	a.ended, a.neverRan = true, verdict.NeverRan()
 	if a.keyAttempt != nil {
 		a.keyAttempt.End(time.Now(), a.neverRan)
 	}
@@ -61,7 +61,7 @@
 		ID:      c.id,
 		Attempt: a.number,
 		Server:  a.server.ID,
-		Verdict: v,
+		Verdict: verdict,
 		Latency: now - a.sentAt,
 		Final:   c.done,
 	}
@@ -72,9 +72,9 @@
 		outcome.Load = parseLoad(response.Header.Get(loadReportHeader), e.reportFields)
 	}
 	if a.record != nil {
-		a.record.Ended(v, status)
+		a.record.Ended(verdict, status)
 	}
-	if v == lbpolicy.OK && !c.done {
+	if verdict == lbpolicy.OK && !c.done {
 		outcome.Final = true
 		e.finish(c, Result{Response: response})
 	}
@@ -87,9 +87,9 @@
 
 // runAttempt carries out an attempt. It first waits until the earlier attempts that have ended no longer use a connection, because
 // endpoints count a request as in progress for as long as its connection is open.
-func (e *Engine) runAttempt(ctx context.Context, c *Call, a *attempt, earlier []chan struct{}) {
-	for _, closed := range earlier {
-		<-closed
+func (e *Engine) runAttempt(ctx context.Context, c *Call, a *attempt, earlierReleases []chan struct{}) {
+	for _, released := range earlierReleases {
+		<-released
 	}
 	verdict, response, err := e.send(ctx, c, a)
 	if response != nil && response.Stream != nil {
@@ -146,13 +146,13 @@
 		return
 	}
 	a := &attempt{
-		number: len(c.attempts),
-		server: e.endpoints[s],
-		sentAt: e.clock.now(),
-		cancel: func() {},
+		number:   len(c.attempts),
+		server:   e.endpoints[s],
+		sentAt:   e.clock.now(),
+		cancel:   func() {},
 		released: make(chan struct{}),
 	}
-	earlier := c.endedAttemptReleases()
+	earlierReleases := c.endedAttemptReleases()
 	c.attempts = append(c.attempts, a)
 	isShutDown := !e.shutdownAt.IsZero() && !time.Now().Before(e.shutdownAt)
 	if a.server == nil || c.done || isShutDown || !e.reserveKey(c, a) {
@@ -168,18 +168,18 @@
 	if c.request.Stream != nil && c.timeLeftAfterBody > 0 { // a server that waits for the rest of the client's body is not unresponsive
 		e.pendingEvents = append(e.pendingEvents, func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
 	}
-	go e.runAttempt(ctx, c, a, earlier)
+	go e.runAttempt(ctx, c, a, earlierReleases)
 }
 
 // endedAttemptReleases returns the channels that are closed when the attempts that have ended no longer use a connection.
 func (c *Call) endedAttemptReleases() []chan struct{} {
-	var closed []chan struct{}
+	var releases []chan struct{}
 	for _, a := range c.attempts {
 		if a.ended {
-			closed = append(closed, a.released)
+			releases = append(releases, a.released)
 		}
 	}
-	return closed
+	return releases
 }
 
 // endUnsent ends an attempt that cannot be sent, once the present event has been handled.
--- a/internal/balancer/engine/call.go
+++ b/internal/balancer/engine/call.go
@@ -12,19 +12,19 @@
 // Call is one client request. It begins with the last byte of the request, or earlier if the body is streamed, and lasts until its
 // result is available and its last attempt has ended.
 type Call struct {
-	id               lbpolicy.RequestID
-	request          upstream.Request
-	class            int
-	key              *Key // nil: the request has no idempotency key
-	result           chan Result
-	done             bool // the result has been sent to the channel, or the client has disconnected
-	attempts         []*attempt
-	deadlineTimer    *time.Timer
-	checkTimer       *time.Timer // set by the policy
-	lastResponse     *upstream.Response
-	timeLeftAfterBody         time.Duration // the time allowed after the last byte of a streamed body; zero when no byte is awaited
-	outOfDescriptors bool          // an attempt failed because this process had no free file descriptor
-	isDisconnected     func() bool   // nil: the connection of the client cannot be checked
+	id                lbpolicy.RequestID
+	request           upstream.Request
+	class             int
+	key               *Key // nil: the request has no idempotency key
+	result            chan Result
+	done              bool // the result has been sent to the channel, or the client has disconnected
+	attempts          []*attempt
+	deadlineTimer     *time.Timer
+	checkTimer        *time.Timer // set by the policy
+	lastResponse      *upstream.Response
+	timeLeftAfterBody time.Duration // the time allowed after the last byte of a streamed body; zero when no byte is awaited
+	outOfDescriptors  bool          // an attempt failed because this process had no free file descriptor
+	isDisconnected    func() bool   // nil: the connection of the client cannot be checked
 }
 
 // Result is the final result of a call. Each call has at most one.
@@ -46,28 +46,28 @@
 
 // Begin starts a call. The TimeLeft of the request counts from its last byte. The key is nil if the request has no idempotency key;
 // otherwise its idempotency.Request must not be ended before the result is available.
-func (e *Engine) Begin(r upstream.Request, q lbpolicy.Request, key *Key) *Call {
-	return e.begin(r, q, key, nil)
+func (e *Engine) Begin(r upstream.Request, policyRequest lbpolicy.Request, key *Key) *Call {
+	return e.begin(r, policyRequest, key, nil)
 }
 
-func (e *Engine) begin(r upstream.Request, q lbpolicy.Request, key *Key, isClientGone func() bool) *Call {
-	c := &Call{request: r, class: q.Class, key: key, result: make(chan Result, 1), isDisconnected: isClientGone}
-	e.processEvent(func(now time.Duration) { e.start(now, c, q) })
+func (e *Engine) begin(r upstream.Request, policyRequest lbpolicy.Request, key *Key, isDisconnected func() bool) *Call {
+	c := &Call{request: r, class: policyRequest.Class, key: key, result: make(chan Result, 1), isDisconnected: isDisconnected}
+	e.processEvent(func(now time.Duration) { e.start(now, c, policyRequest) })
 	return c
 }
 
 // start passes a new call to the policy.
-func (e *Engine) start(now time.Duration, c *Call, q lbpolicy.Request) {
+func (e *Engine) start(now time.Duration, c *Call, policyRequest lbpolicy.Request) {
 	e.lastID++
-	c.id, q.ID = e.lastID, e.lastID
-	q.TimeLeft = e.limitToShutdown(q.TimeLeft)
-	timeout := q.TimeLeft
+	c.id, policyRequest.ID = e.lastID, e.lastID
+	policyRequest.TimeLeft = e.limitToShutdown(policyRequest.TimeLeft)
+	timeout := policyRequest.TimeLeft
 	if c.request.Stream != nil { // TimeLeft counts from the last byte; until then the upload is bounded by the progress of both sides
-		c.timeLeftAfterBody, timeout = q.TimeLeft, maxUploadTime
-		c.request.TimeLeft = q.TimeLeft
+		c.timeLeftAfterBody, timeout = policyRequest.TimeLeft, maxUploadTime
+		c.request.TimeLeft = policyRequest.TimeLeft
 	}
 	c.request.Deadline = time.Now().Add(timeout)
-	if q.ClassAtArrival != nil && !e.resolveClass(&q) {
+	if policyRequest.ClassAtArrival != nil && !e.resolveClass(&policyRequest) {
 		c.done = true
 		c.result <- Result{ClassRemoved: true}
 		return
@@ -75,20 +75,20 @@
 	e.calls[c.id] = c
 	c.deadlineTimer = time.AfterFunc(timeout, func() { e.expire(c) })
 	if c.key != nil {
-		q.KeyState = e.keyState(c)
+		policyRequest.KeyState = e.keyState(c)
 	}
-	e.balancer.Request(now, q)
+	e.balancer.Request(now, policyRequest)
 	e.release(c)
 }
 
 // resolveClass looks up by name the class of a request that arrived under earlier settings. It is false if that class was removed.
-func (e *Engine) resolveClass(q *lbpolicy.Request) bool {
-	name := q.ClassAtArrival.Name
-	if q.Class < len(e.classes) && e.classes[q.Class].Name == name {
+func (e *Engine) resolveClass(policyRequest *lbpolicy.Request) bool {
+	name := policyRequest.ClassAtArrival.Name
+	if policyRequest.Class < len(e.classes) && e.classes[policyRequest.Class].Name == name {
 		return true
 	}
-	q.Class = slices.IndexFunc(e.classes, func(c lbpolicy.Class) bool { return c.Name == name })
-	return q.Class >= 0
+	policyRequest.Class = slices.IndexFunc(e.classes, func(c lbpolicy.Class) bool { return c.Name == name })
+	return policyRequest.Class >= 0
 }
 
 // Result returns the channel on which the result is delivered.
@@ -96,11 +96,11 @@
 
 // Do starts a call and waits for its result. The end of ctx means that the client has disconnected: ok is then false, unless a
 // result is already available. If the client has disconnected before, the call is not started: see WithDisconnectCheck.
-func (e *Engine) Do(ctx context.Context, r upstream.Request, q lbpolicy.Request, key *Key) (result Result, ok bool) {
+func (e *Engine) Do(ctx context.Context, r upstream.Request, policyRequest lbpolicy.Request, key *Key) (result Result, ok bool) {
 	if IsDisconnected(ctx) {
 		return Result{}, false
 	}
-	c := e.begin(r, q, key, func() bool { return IsDisconnected(ctx) })
+	c := e.begin(r, policyRequest, key, func() bool { return IsDisconnected(ctx) })
 	select {
 	case result = <-c.result:
 		return result, true
--- a/internal/balancer/engine/disconnect.go
+++ b/internal/balancer/engine/disconnect.go
@@ -42,7 +42,7 @@
 	return false
 }
 
-// claimDispatch is called just before the first byte of an attempt is sent, and reports whether it may be sent: mayStart still
+// claimDispatch is called just before the first byte of an attempt is sent, and reports whether it may be sent: mayDispatch still
 // allows it, and the client is still connected. The client is checked before the lock is taken, because no system call is made
 // under the lock. If taking the lock took longer than disconnectCheckValidity (because of a long endpoint list, or a log whose
 // reader is slow), the check is repeated, until the call's deadline at the latest.
@@ -52,20 +52,20 @@
 		if !e.checkClientConnected(c) {
 			return false
 		}
-		mayStart, outdated := e.tryClaimDispatch(checkedAt, c, a)
+		mayDispatch, outdated := e.tryClaimDispatch(checkedAt, c, a)
 		if !outdated {
-			return mayStart
+			return mayDispatch
 		}
 	}
 }
 
 // tryClaimDispatch marks an attempt as sent if it may be sent and the check of its client is not outdated.
-func (e *Engine) tryClaimDispatch(checkedAt time.Time, c *Call, a *attempt) (mayStart, outdated bool) {
+func (e *Engine) tryClaimDispatch(checkedAt time.Time, c *Call, a *attempt) (mayDispatch, outdated bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := time.Now() // mayStart compares it with the deadline, as the deadline timer may fire late after a pause of the process
-	mayStart = e.mayDispatch(now, c, a)
-	outdated = mayStart && now.Sub(checkedAt) > disconnectCheckValidity
-	a.firstByteSent = mayStart && !outdated
-	return mayStart, outdated
+	now := time.Now() // mayDispatch compares it with the deadline, as the deadline timer may fire late after a pause of the process
+	mayDispatch = e.mayDispatch(now, c, a)
+	outdated = mayDispatch && now.Sub(checkedAt) > disconnectCheckValidity
+	a.firstByteSent = mayDispatch && !outdated
+	return mayDispatch, outdated
 }
--- a/internal/balancer/engine/disconnect_test.go
+++ b/internal/balancer/engine/disconnect_test.go
@@ -14,246 +14,248 @@
 	"silvertrail/lbpolicy"
 )
 
-// gate holds what comes to it until it is opened.
+// gate blocks the goroutines that call wait until opened is closed.
 type gate struct{ arrivals, opened chan struct{} }
 
 func newGate() *gate { return &gate{make(chan struct{}, 8), make(chan struct{})} }
 
-// awaitArrival waits until something has come to it.
+// awaitArrival waits until a goroutine has called wait.
 func (g *gate) awaitArrival(t *testing.T) {
 	t.Helper()
 	select {
 	case <-g.arrivals:
 	case <-time.After(lbtest.Wait):
-		t.Fatal("nothing came to the gate")
+		t.Fatal("no goroutine reached the gate within lbtest.Wait")
 	}
 }
 
+// wait signals an arrival and blocks until the gate is opened.
 func (g *gate) wait() {
 	g.arrivals <- struct{}{}
 	<-g.opened
 }
 
-// blockedRecorder is a ledger whose disk takes its time.
+// blockedRecorder is a Recorder whose Intent waits at the gate, like a ledger with a slow disk.
 type blockedRecorder struct{ *gate }
 
-func (s blockedRecorder) Attempt(string) Record { return s }
+func (r blockedRecorder) Attempt(string) Record { return r }
 
-func (s blockedRecorder) Intent(context.Context, idempotency.Place) error {
-	s.wait()
+func (r blockedRecorder) Intent(context.Context, idempotency.Place) error {
+	r.wait()
 	return nil
 }
 
-func (s blockedRecorder) Ended(lbpolicy.Verdict, int) {}
+func (r blockedRecorder) Ended(lbpolicy.Verdict, int) {}
 
-// blockedClaimer agree to whatever they are asked, late.
+// blockedClaimer is a Claimer whose claims wait at the gate and then succeed, like voters that respond late.
 type blockedClaimer struct {
 	*gate
 	claimed atomic.Pointer[idempotency.Place]
 }
 
-func (s *blockedClaimer) IsActive() bool { return true }
+func (c *blockedClaimer) IsActive() bool { return true }
 
-func (s *blockedClaimer) Claim(_ context.Context, to idempotency.Place) {
-	s.wait()
-	s.claimed.Store(&to)
+func (c *blockedClaimer) Claim(_ context.Context, place idempotency.Place) {
+	c.wait()
+	c.claimed.Store(&place)
 }
 
-func (s *blockedClaimer) KeyState() idempotency.KeyState {
-	if to := s.claimed.Load(); to != nil {
-		return idempotency.KeyState{Known: true, Place: *to, RetryUntil: time.Now().Add(time.Minute)}
+func (c *blockedClaimer) KeyState() idempotency.KeyState {
+	if place := c.claimed.Load(); place != nil {
+		return idempotency.KeyState{Known: true, Place: *place, RetryUntil: time.Now().Add(time.Minute)}
 	}
 	return idempotency.KeyState{}
 }
 
-// beginKeyed begins a beginKeyed request whose caller leaves as told.
-func beginKeyed(t *testing.T, h *Engine, away func() bool, binder Claimer, recorder Recorder) (*Call, *idempotency.Request) {
+// beginKeyed begins a request with an idempotency key. The function isDisconnected reports whether its client has disconnected.
+func beginKeyed(t *testing.T, engine *Engine, isDisconnected func() bool, claimer Claimer, recorder Recorder) (*Call, *idempotency.Request) {
 	t.Helper()
-	hold, err := idempotency.New(8).Begin(time.Now(), idempotency.KeyIDOf("acme", "k"), idempotency.Fingerprint{})
+	keyRequest, err := idempotency.New(8).Begin(time.Now(), idempotency.KeyIDOf("acme", "k"), idempotency.Fingerprint{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	key := &Key{History: hold, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}, Claimer: binder, Recorder: recorder}
+	key := &Key{History: keyRequest, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}, Claimer: claimer, Recorder: recorder}
 	r := upstream.Request{Method: "POST", Target: "/write", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}, "Idempotency-Key": {"k"}}}
-	return h.begin(r, lbpolicy.Request{Class: 1, TimeLeft: lbtest.Wait}, key, away), hold
+	return engine.begin(r, lbpolicy.Request{Class: 1, TimeLeft: lbtest.Wait}, key, isDisconnected), keyRequest
 }
 
-// A caller that leaves while voters are asked, or while an attempt is recorded, has nothing sent, and its key is free: no
-// attempt of it may have run. Its goroutine ends, and the server is not blamed.
+// If the client disconnects while the key is being claimed or the intent is being recorded, nothing is sent. The key stays free,
+// because no attempt may have run. The call is released, and the endpoint still gets requests.
 func TestDisconnectDuringClaimOrRecordSendsNothing(t *testing.T) {
 	t.Parallel()
-	for name, slow := range map[string]func(*gate) (Claimer, Recorder){
+	for name, newBlocked := range map[string]func(*gate) (Claimer, Recorder){
 		"voters": func(g *gate) (Claimer, Recorder) { return &blockedClaimer{gate: g}, nil },
 		"ledger": func(g *gate) (Claimer, Recorder) { return nil, blockedRecorder{g} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var got atomic.Int64
-			e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-			h := newEngine(t)
-			h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
+			var received atomic.Int64
+			server := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { received.Add(1); arrival.OK() })
+			engine := newEngine(t)
+			engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
 			g := newGate()
-			var left atomic.Bool
-			binder, recorder := slow(g)
-			_, hold := beginKeyed(t, h, left.Load, binder, recorder)
+			var disconnected atomic.Bool
+			claimer, recorder := newBlocked(g)
+			_, keyRequest := beginKeyed(t, engine, disconnected.Load, claimer, recorder)
 			g.awaitArrival(t)
-			left.Store(true)
+			disconnected.Store(true)
 			close(g.opened)
-			lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
-			if got.Load() > 0 {
-				t.Error("it came to the endpoint")
+			lbtest.Until(t, "no call is in flight", func() bool { return engine.InFlight() == 0 })
+			if received.Load() > 0 {
+				t.Error("endpoint received the request of a disconnected client")
 			}
-			if hold.MayHaveRun() {
-				t.Error("its key is held for an attempt that never went out")
+			if keyRequest.MayHaveRun() {
+				t.Error("MayHaveRun = true for a key whose attempt was never sent")
 			}
-			if a := awaitResult(t, beginGet(h, "stays", lbtest.Wait)); a.Response == nil {
-				t.Errorf("the endpoint serves others no more: %+v", a)
+			if result := awaitResult(t, beginGet(engine, "stays", lbtest.Wait)); result.Response == nil {
+				t.Errorf("call of another client: got %+v, want a response", result)
 			}
 		})
 	}
 }
 
-// A caller that leaves while an attempt waits for the one before it to get off its connection has nothing more sent.
+// If the client disconnects while an attempt waits for the earlier one to release its connection, nothing more is sent.
 func TestDisconnectWhileWaitingForEarlierAttemptSendsNothing(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	serve := func(a *lbtest.Arrival) { got.Add(1); a.OK() }
+	var received atomic.Int64
+	serve := func(arrival *lbtest.Arrival) { received.Add(1); arrival.OK() }
 	first, second := lbtest.NewEndpoint(t, serve), lbtest.NewEndpoint(t, serve)
-	h := newEngine(t)
-	two := listEntry(second.Addr, "ready")
-	two.Name = "s2"
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready"), two})
+	engine := newEngine(t)
+	secondEntry := listEntry(second.Addr, "ready")
+	secondEntry.Name = "s2"
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready"), secondEntry})
 	g := newGate()
-	var left, held atomic.Bool
-	away := func() bool {
-		if held.CompareAndSwap(false, true) { // the first attempt, on its connection
+	var disconnected, firstCheckBlocked atomic.Bool
+	isDisconnected := func() bool {
+		if firstCheckBlocked.CompareAndSwap(false, true) { // check of the first attempt, whose connection is established
 			g.wait()
 			return false
 		}
-		return left.Load()
+		return disconnected.Load()
 	}
 	r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
-	c := h.begin(r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil, away)
+	c := engine.begin(r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil, isDisconnected)
 	g.awaitArrival(t)
-	h.processEvent(func(now time.Duration) { h.abandon(now, c, c.attempts[0], lbpolicy.Cancelled) })
-	h.mu.Lock()
-	n := len(c.attempts)
-	h.mu.Unlock()
-	if n != 2 {
-		t.Fatalf("%d attempts, want a second one behind the first", n)
+	engine.processEvent(func(now time.Duration) { engine.abandon(now, c, c.attempts[0], lbpolicy.Cancelled) })
+	engine.mu.Lock()
+	attemptCount := len(c.attempts)
+	engine.mu.Unlock()
+	if attemptCount != 2 {
+		t.Fatalf("%d attempts, want 2, the second one waiting for the first", attemptCount)
 	}
-	left.Store(true)
+	disconnected.Store(true)
 	close(g.opened)
-	lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
-	if got.Load() > 0 {
-		t.Error("it came to an endpoint")
+	lbtest.Until(t, "no call is in flight", func() bool { return engine.InFlight() == 0 })
+	if received.Load() > 0 {
+		t.Error("an endpoint received the request of a disconnected client")
 	}
 }
 
-// The request of a caller that has left before it is begun is no call for the decisions.
+// If the client has disconnected before its call is started, the policy gets no request.
 func TestDisconnectBeforeCallStartsNothing(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-	h := newEngine(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
+	var received atomic.Int64
+	server := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { received.Add(1); arrival.OK() })
+	engine := newEngine(t)
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ctx = WithDisconnectCheck(ctx, func() bool { cancel(); return true })
 	r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
-	if a, ok := h.Do(ctx, r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil); ok {
-		t.Errorf("answered %+v", a)
+	if result, ok := engine.Do(ctx, r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil); ok {
+		t.Errorf("Do returned result %+v for a disconnected client", result)
 	}
-	if h.lastID != 0 || got.Load() > 0 {
-		t.Errorf("begun as %d, %d came to the endpoint", h.lastID, got.Load())
+	if engine.lastID != 0 || received.Load() > 0 {
+		t.Errorf("last call ID is %d, and endpoint received %d requests, want 0 of both", engine.lastID, received.Load())
 	}
 }
 
-// undetectedCancelContext is a context that has ended, and whose end nobody who waits for it has been told of yet: as when the whole process
-// has stood still, or as a stream between salas is reset in the moment in which a connection comes up.
+// undetectedCancelContext is a context whose Err already reports the cancellation while its Done channel is still open. This happens
+// after a pause of the whole process, or when a stream between sites is reset just as a connection has been established.
 type undetectedCancelContext struct {
 	context.Context
 	ended atomic.Bool
 	done  chan struct{}
 }
 
-func (u *undetectedCancelContext) Done() <-chan struct{} { return u.done }
+func (c *undetectedCancelContext) Done() <-chan struct{} { return c.done }
 
-func (u *undetectedCancelContext) Err() error {
-	if u.ended.Load() {
+func (c *undetectedCancelContext) Err() error {
+	if c.ended.Load() {
 		return context.Canceled
 	}
 	return nil
 }
 
-// newEngineWithBlockedDials is a host with one endpoint, whose connections wait at a gate.
-func newEngineWithBlockedDials(t *testing.T) (h *Engine, g *gate, got *atomic.Int64) {
+// newEngineWithBlockedDials returns an engine with one endpoint whose dials wait at the gate, and the number of requests that the
+// endpoint has received.
+func newEngineWithBlockedDials(t *testing.T) (engine *Engine, g *gate, received *atomic.Int64) {
 	t.Helper()
-	got = &atomic.Int64{}
-	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { got.Add(1); a.OK() })
-	h, g = newEngine(t), newGate()
-	h.client.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+	received = &atomic.Int64{}
+	server := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { received.Add(1); arrival.OK() })
+	engine, g = newEngine(t), newGate()
+	engine.client.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		g.wait()
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}
-	h.client.SetDialTimeout(lbtest.Wait)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
-	return h, g, got
+	engine.client.SetDialTimeout(lbtest.Wait)
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
+	return engine, g, received
 }
 
-// An end that the call's own goroutine has not noticed yet counts at the claim too, whoever brings the request: a caller
-// across a link has nothing but its context.
+// The check before dispatch detects a cancelled context even if the goroutine in Do has not been woken up yet. Requests that arrive
+// over a link depend on this, because their clients are represented by a context alone.
 func TestUndetectedContextCancelSendsNothing(t *testing.T) {
 	t.Parallel()
-	h, g, got := newEngineWithBlockedDials(t)
+	engine, g, received := newEngineWithBlockedDials(t)
 	ctx := &undetectedCancelContext{Context: t.Context(), done: make(chan struct{})}
-	over := make(chan bool, 1)
+	served := make(chan bool, 1)
 	go func() {
 		r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
-		_, ok := h.Do(ctx, r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil)
-		over <- ok
+		_, ok := engine.Do(ctx, r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil)
+		served <- ok
 	}()
 	g.awaitArrival(t)
 	ctx.ended.Store(true)
 	close(g.opened)
-	lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
+	lbtest.Until(t, "no call is in flight", func() bool { return engine.InFlight() == 0 })
 	close(ctx.done)
-	if <-over {
-		t.Error("answered")
+	if <-served {
+		t.Error("Do returned a result for a disconnected client")
 	}
-	if got.Load() > 0 {
-		t.Error("it came to the endpoint")
+	if received.Load() > 0 {
+		t.Error("endpoint received the request of a disconnected client")
 	}
 }
 
-// A look at the caller that is old by the time the decisions' lock is had is made again: the caller may have left meanwhile.
-// The lock is held here until the first look is too old.
+// If the engine's lock is taken only after the check of the client has become outdated, the check is repeated, because the client may
+// have disconnected meanwhile. The test holds the lock until the first check is outdated.
 func TestOutdatedDisconnectCheckIsRepeated(t *testing.T) {
 	t.Parallel()
-	h, g, got := newEngineWithBlockedDials(t)
-	var left atomic.Bool
-	asked := make(chan struct{}, 8)
-	away := func() bool {
-		defer func() { asked <- struct{}{} }()
-		return left.Load()
+	engine, g, received := newEngineWithBlockedDials(t)
+	var disconnected atomic.Bool
+	checked := make(chan struct{}, 8)
+	isDisconnected := func() bool {
+		defer func() { checked <- struct{}{} }()
+		return disconnected.Load()
 	}
 	r := upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}}}
-	h.begin(r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil, away)
+	engine.begin(r, lbpolicy.Request{Class: 0, TimeLeft: lbtest.Wait}, nil, isDisconnected)
 	g.awaitArrival(t)
-	h.mu.Lock()
+	engine.mu.Lock()
 	close(g.opened)
 	select {
-	case <-asked: // its caller is there still
+	case <-checked: // the first check has found the client connected
 	case <-time.After(lbtest.Wait):
-		t.Error("the caller is not looked at")
+		t.Error("client connection not checked within lbtest.Wait")
 	}
-	left.Store(true)
+	disconnected.Store(true)
 	for since := time.Now(); time.Since(since) <= disconnectCheckValidity; {
 		time.Sleep(disconnectCheckValidity)
 	}
-	h.mu.Unlock()
-	lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
-	if got.Load() > 0 {
-		t.Error("it came to the endpoint")
+	engine.mu.Unlock()
+	lbtest.Until(t, "no call is in flight", func() bool { return engine.InFlight() == 0 })
+	if received.Load() > 0 {
+		t.Error("endpoint received the request of a disconnected client")
 	}
 }
--- a/internal/balancer/engine/endpoints.go
+++ b/internal/balancer/engine/endpoints.go
@@ -38,9 +38,9 @@
 			servers = append(servers, s)
 			present[s.ID] = true
 		}
-		isWhole := kind == lbpolicy.Full || kind == lbpolicy.Cached
+		isFullList := kind == lbpolicy.Full || kind == lbpolicy.Cached
 		for id, server := range e.endpoints {
-			if server.State == lbpolicy.Removed || isWhole && !present[id] {
+			if server.State == lbpolicy.Removed || isFullList && !present[id] {
 				e.removeEndpoint(server)
 			}
 		}
--- a/internal/balancer/engine/engine.go
+++ b/internal/balancer/engine/engine.go
@@ -18,10 +18,10 @@
 
 // Engine runs a balancer. All its methods may be called from any goroutine.
 type Engine struct {
-	log    *slog.Logger
-	client *upstream.Client
-	clock  clock
-	pollDiscovery  func() // polls the discovery service
+	log           *slog.Logger
+	client        *upstream.Client
+	clock         clock
+	pollDiscovery func() // polls the discovery service
 
 	mu              sync.Mutex // guards the fields below, and all calls, attempts and endpoints
 	zones           []string
@@ -57,7 +57,7 @@
 		clock:           clock{time.Now()},
 		zones:           o.Zones,
 		reportFields:    o.ReportFields,
-		pollDiscovery:           o.Watch,
+		pollDiscovery:   o.Watch,
 		classes:         o.Policy.Classes,
 		calls:           map[lbpolicy.RequestID]*Call{},
 		endpoints:       map[lbpolicy.ServerID]*endpoint{},
@@ -106,11 +106,11 @@
 }
 
 // limitToShutdown limits the time that a call has left to the time until the shutdown.
-func (e *Engine) limitToShutdown(left time.Duration) time.Duration {
+func (e *Engine) limitToShutdown(timeLeft time.Duration) time.Duration {
 	if e.shutdownAt.IsZero() {
-		return left
+		return timeLeft
 	}
-	return min(left, max(time.Until(e.shutdownAt), 0))
+	return min(timeLeft, max(time.Until(e.shutdownAt), 0))
 }
 
 // SetBalancers sets the number of balancers that share the endpoints, and the index of this one among them.
--- a/internal/balancer/engine/engine_test.go
+++ b/internal/balancer/engine/engine_test.go
@@ -25,154 +25,157 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
+	engine, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
 		Client: upstream.NewClient(upstream.Options{DialTimeout: c.DialTimeout, IdleTimeout: time.Second, MaxConns: 64}), Log: slog.New(slog.NewTextHandler(log, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h
+	return engine
 }
 
+// listEntry returns the entry of endpoint "s" in zone "a".
 func listEntry(address, status string) endpointlist.Endpoint {
 	return endpointlist.Endpoint{Name: "s", Address: address, Zone: "a", Status: status}
 }
 
-func beginGet(h *Engine, id string, left time.Duration) *Call {
-	return h.Begin(upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {id}}},
+// beginGet begins a request of class 0 without an idempotency key.
+func beginGet(engine *Engine, id string, left time.Duration) *Call {
+	return engine.Begin(upstream.Request{Method: "GET", Target: "/read", Host: "x", Header: map[string][]string{"X-Request-Id": {id}}},
 		lbpolicy.Request{Class: 0, TimeLeft: left}, nil)
 }
 
 func awaitResult(t *testing.T, c *Call) Result {
 	t.Helper()
 	select {
-	case a := <-c.Result():
-		return a
+	case result := <-c.Result():
+		return result
 	case <-time.After(lbtest.Wait):
-		t.Fatal("no answer")
+		t.Fatal("call has no result within lbtest.Wait")
 		panic("unreachable")
 	}
 }
 
-// A fault in a decision ends neither the process nor the answer that a caller is owed.
+// A panic in the handler of an event must not end the process. Calls in progress and later ones still fail at their deadlines, without
+// a promise that a retry is harmless.
 func TestPanicInEventStillGivesResult(t *testing.T) {
-	e := lbtest.NewEndpoint(t, nil)
-	h := newEngine(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
-	held := beginGet(h, "one", 2*time.Second)
-	<-e.Arrivals
-	h.processEvent(func(time.Duration) { panic("a fault") })
-	h.mu.Lock()
-	h.balancer = nil // every decision from now on fails
-	h.mu.Unlock()
-	if a := awaitResult(t, held); a.Response != nil || a.Rejected {
-		t.Errorf("got %+v", a)
-	}
-	if a := awaitResult(t, beginGet(h, "two", time.Millisecond)); a.Response != nil || a.Rejected {
-		t.Errorf("got %+v", a)
-	}
-	lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
+	server := lbtest.NewEndpoint(t, nil)
+	engine := newEngine(t)
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
+	unanswered := beginGet(engine, "one", 2*time.Second)
+	<-server.Arrivals
+	engine.processEvent(func(time.Duration) { panic("injected by the test") })
+	engine.mu.Lock()
+	engine.balancer = nil // every event that reaches the policy panics from now on
+	engine.mu.Unlock()
+	if result := awaitResult(t, unanswered); result.Response != nil || result.Rejected {
+		t.Errorf("call in progress during the panic: got %+v, want a failure", result)
+	}
+	if result := awaitResult(t, beginGet(engine, "two", time.Millisecond)); result.Response != nil || result.Rejected {
+		t.Errorf("call begun after the panic: got %+v, want a failure", result)
+	}
+	lbtest.Until(t, "no call is in flight", func() bool { return engine.InFlight() == 0 })
 }
 
-// Whatever else can't be read of it, an endpoint that drains gets nothing new; nor does one at the address that the
-// list gave before.
+// A draining endpoint gets no new attempt, even if the rest of its list entry is invalid. After an endpoint has changed its address, no
+// attempt that was decided on before is sent to the earlier address.
 func TestDrainingOrMovedEndpointGetsNoAttempt(t *testing.T) {
-	first := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	second := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	h := newEngine(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready")})
-	if a := awaitResult(t, beginGet(h, "one", lbtest.Wait)); a.Response == nil {
-		t.Fatal("not served")
-	}
-	h.mu.Lock()
+	first := lbtest.NewEndpoint(t, func(result *lbtest.Arrival) { result.OK() })
+	second := lbtest.NewEndpoint(t, func(result *lbtest.Arrival) { result.OK() })
+	engine := newEngine(t)
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready")})
+	if result := awaitResult(t, beginGet(engine, "one", lbtest.Wait)); result.Response == nil {
+		t.Fatal("call to a ready endpoint got no response")
+	}
+	engine.mu.Lock()
 	var s *endpoint
-	for _, s = range h.endpoints {
+	for _, s = range engine.endpoints {
 	}
 	stale := &attempt{server: s, pool: s.pool}
-	h.mu.Unlock()
+	engine.mu.Unlock()
 	whole := upstream.Request{Deadline: time.Now().Add(lbtest.Wait)}
-	if !h.claimDispatch(&Call{request: whole}, stale) {
-		t.Error("a ready endpoint's attempt may not go out")
+	if !engine.claimDispatch(&Call{request: whole}, stale) {
+		t.Error("claimDispatch = false for an attempt at a ready endpoint")
 	}
-	if h.claimDispatch(&Call{request: whole, done: true}, stale) {
-		t.Error("an attempt may go out for a call that has its answer")
+	if engine.claimDispatch(&Call{request: whole, done: true}, stale) {
+		t.Error("claimDispatch = true for a call that has its result")
 	}
-	if h.claimDispatch(&Call{request: upstream.Request{Deadline: time.Now()}}, stale) {
-		t.Error("an attempt may go out when the deadline is over, as after a pause of the process")
+	if engine.claimDispatch(&Call{request: upstream.Request{Deadline: time.Now()}}, stale) {
+		t.Error("claimDispatch = true after the deadline, as it can pass during a pause of the process")
 	}
-	h.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{listEntry(second.Addr, "ready")})
-	if h.claimDispatch(&Call{request: whole}, stale) {
-		t.Error("an attempt may go out to the old address")
+	engine.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{listEntry(second.Addr, "ready")})
+	if engine.claimDispatch(&Call{request: whole}, stale) {
+		t.Error("claimDispatch = true for an attempt to the earlier address")
 	}
-	h.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{listEntry("nowhere", "draining")})
-	if a := awaitResult(t, beginGet(h, "two", lbtest.Wait)); !a.Rejected {
-		t.Errorf("sent to an endpoint that drains: %+v", a)
+	engine.UpdateEndpoints(lbpolicy.Delta, []endpointlist.Endpoint{listEntry("nowhere", "draining")})
+	if result := awaitResult(t, beginGet(engine, "two", lbtest.Wait)); !result.Rejected {
+		t.Errorf("call with no endpoint but a draining one: got %+v, want a rejection", result)
 	}
 }
 
-// A call with less time than its class takes is refused at once and sent nowhere, so that it costs no tier any work;
-// one with enough time is served as ever.
+// A call with less time left than responses of its class take is rejected at once. It is not sent, so that it causes no work in any
+// tier. A call with enough time left is still served.
 func TestCallWithTooLittleTimeIsRejected(t *testing.T) {
 	t.Parallel()
-	const takes, short = 400 * time.Millisecond, 300 * time.Millisecond
-	var got atomic.Int64
-	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
-		got.Add(1)
-		time.Sleep(takes) // more does no harm
-		a.OK()
+	const serviceTime, shortTimeLeft = 400 * time.Millisecond, 300 * time.Millisecond
+	var received atomic.Int64
+	server := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) {
+		received.Add(1)
+		time.Sleep(serviceTime) // a longer sleep does not change the results
+		arrival.OK()
 	})
-	h := newEngine(t)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
-	for range 8 { // long enough for the quiet latency to be learnt too
+	engine := newEngine(t)
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
+	for range 8 { // enough calls for the policy to learn the latency without load too
 		var calls []*Call
 		for range 4 {
-			calls = append(calls, beginGet(h, "long", lbtest.Wait))
+			calls = append(calls, beginGet(engine, "long", lbtest.Wait))
 		}
 		for _, c := range calls {
-			if a := awaitResult(t, c); a.Response == nil {
-				t.Fatalf("not served: %+v", a)
+			if result := awaitResult(t, c); result.Response == nil {
+				t.Fatalf("call with enough time left: got %+v, want a response", result)
 			}
 		}
 	}
-	before := got.Load()
+	before := received.Load()
 	for range 5 {
-		if a := awaitResult(t, beginGet(h, "short", short)); !a.Rejected || a.RetryAfter != 0 {
-			t.Errorf("got %+v", a)
+		if result := awaitResult(t, beginGet(engine, "short", shortTimeLeft)); !result.Rejected || result.RetryAfter != 0 {
+			t.Errorf("call with too little time left: got %+v, want a rejection without RetryAfter", result)
 		}
 	}
-	if a := awaitResult(t, beginGet(h, "last", lbtest.Wait)); a.Response == nil {
-		t.Errorf("not served: %+v", a)
+	if result := awaitResult(t, beginGet(engine, "last", lbtest.Wait)); result.Response == nil {
+		t.Errorf("call with enough time left after the rejections: got %+v, want a response", result)
 	}
-	if n := got.Load() - before; n != 1 {
-		t.Errorf("%d calls came to the endpoint, not one", n)
+	if n := received.Load() - before; n != 1 {
+		t.Errorf("endpoint received %d calls, want 1", n)
 	}
 }
 
-// Callers in a hurry put no server out: each of them has waited for less than an answer usually takes. Calls that
-// together have waited long do.
+// Calls that end before a response usually arrives must not cause an ejection, because their short waits do not show that the endpoint
+// is unresponsive. The endpoint is ejected as silent only after calls have waited long enough together.
 func TestShortDeadlinesEjectNoEndpoint(t *testing.T) {
 	t.Parallel()
-	e := lbtest.NewEndpoint(t, nil)
+	server := lbtest.NewEndpoint(t, nil)
 	var log lbtest.Log
-	h := newEngineWithLog(t, &log)
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
+	engine := newEngineWithLog(t, &log)
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
 	for range 2 {
-		c := beginGet(h, "hurried", 700*time.Millisecond) // the decisions start from a latency of 1.25 s
+		c := beginGet(engine, "hurried", 700*time.Millisecond) // the policy starts from an assumed latency of 1.25 s
 		select {
-		case held := <-e.Arrivals:
+		case arrival := <-server.Arrivals:
 			awaitResult(t, c)
-			held.Close()
+			arrival.Close()
 		case <-time.After(lbtest.Wait):
-			t.Fatalf("not sent: %s", log.String())
+			t.Fatalf("call not sent to the endpoint; log: %s", log.String())
 		}
 	}
 	if log.Contains("silent") {
-		t.Errorf("put out for callers in a hurry: %s", log.String())
+		t.Errorf("endpoint ejected after calls with short deadlines; log: %s", log.String())
 	}
 	for range 12 {
-		beginGet(h, "patient", lbtest.Wait)
+		beginGet(engine, "patient", lbtest.Wait)
 	}
-	lbtest.Until(t, "a silent server out", func() bool {
-		beginGet(h, "another", time.Millisecond) // decisions come with events
+	lbtest.Until(t, "the endpoint is ejected as silent", func() bool {
+		beginGet(engine, "another", time.Millisecond) // the policy takes decisions only when it gets an event
 		return log.Contains("silent")
 	})
 }
@@ -182,7 +185,7 @@
 		"util=1e30": false, "util=NaN": false, "util=Inf": false, "util=": false, "%%%": false, `{"`: false, "=,=": false,
 		"qps=1": false, "util=500": false} {
 		if got := parseLoad(text, []string{"util"}) != nil; got != ok {
-			t.Errorf("%q: %t", text, got)
+			t.Errorf("report %q accepted: %t", text, got)
 		}
 	}
 }
--- a/internal/balancer/engine/key.go
+++ b/internal/balancer/engine/key.go
@@ -33,7 +33,7 @@
 type Record interface {
 	// Intent records that the attempt is about to be sent, and returns once the record is durable. After an error the attempt must
 	// not be sent.
-	Intent(ctx context.Context, to idempotency.Place) error
+	Intent(ctx context.Context, place idempotency.Place) error
 	// Ended records how the attempt ended, and the status of the response, which is 0 if none was received. It must not block.
 	Ended(v lbpolicy.Verdict, status int)
 }
@@ -43,7 +43,7 @@
 	// IsActive reports whether there are other processes. Once it has returned true, no attempt begins without a claim.
 	IsActive() bool
 	// Claim claims the key. KeyState then returns the result. Claim may be called again for another attempt.
-	Claim(ctx context.Context, to idempotency.Place)
+	Claim(ctx context.Context, place idempotency.Place)
 	// KeyState returns the key's state over all processes. An attempt may be sent to a place that this state allows.
 	KeyState() idempotency.KeyState
 }
@@ -115,12 +115,12 @@
 
 // claimKey claims the key of an attempt in all processes. It reports whether the claim covers the place of the endpoint afterwards.
 func (e *Engine) claimKey(ctx context.Context, c *Call, a *attempt) (claimed bool) {
-	var to idempotency.Place
+	var place idempotency.Place
 	e.processEvent(func(now time.Duration) {
-		to = e.place(c, a.server)
+		place = e.place(c, a.server)
 		e.setDispatchPending(now, c, a, true)
 	})
-	c.key.Claimer.Claim(ctx, to)
+	c.key.Claimer.Claim(ctx, place)
 	e.processEvent(func(now time.Duration) {
 		e.setDispatchPending(now, c, a, false)
 		claimed = e.isClaimValid(time.Now(), c, e.place(c, a.server))
@@ -131,12 +131,12 @@
 // recordIntent records that an attempt is about to be sent. It is false if that failed.
 func (e *Engine) recordIntent(ctx context.Context, c *Call, a *attempt) bool {
 	e.mu.Lock()
-	to := e.place(c, a.server)
+	place := e.place(c, a.server)
 	e.mu.Unlock()
 	slow := time.AfterFunc(slowRecordDelay, func() {
 		e.processEvent(func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
 	})
-	err := a.record.Intent(ctx, to)
+	err := a.record.Intent(ctx, place)
 	if !slow.Stop() {
 		e.processEvent(func(now time.Duration) { e.setDispatchPending(now, c, a, false) })
 	}
@@ -170,12 +170,12 @@
 }
 
 // isClaimValid reports whether the claim covers an attempt at a place, or none is needed.
-func (e *Engine) isClaimValid(now time.Time, c *Call, to idempotency.Place) bool {
+func (e *Engine) isClaimValid(now time.Time, c *Call, place idempotency.Place) bool {
 	if c.key == nil || !c.key.needsClaim() {
 		return true
 	}
 	state := c.key.Claimer.KeyState()
-	return state.Known && state.Allows(to, c.key.Terms.Scope) && now.Before(state.RetryUntil)
+	return state.Known && state.Allows(place, c.key.Terms.Scope) && now.Before(state.RetryUntil)
 }
 
 // updateKeyState notifies the policy of the present state of a call's key.
--- a/internal/balancer/engine/progress_test.go
+++ b/internal/balancer/engine/progress_test.go
@@ -18,11 +18,11 @@
 	"silvertrail/lbpolicy"
 )
 
-// delayedReadConn is a connection whose reader is late: each read waits while the lock is held, before or after it takes bytes from the
-// socket.
+// delayedReadConn is a connection whose reads are delayed: each waits while the lock is held, either before or after it takes bytes
+// from the socket.
 type delayedReadConn struct {
 	*net.TCPConn
-	lock  *sync.RWMutex
+	lock      *sync.RWMutex
 	afterRead bool
 }
 
@@ -54,10 +54,10 @@
 	})
 }
 
-// newEngineWithDelayedReads is an engine whose goroutines read responses only while the lock is free.
-func newEngineWithDelayedReads(t testing.TB, log *lbtest.Log, lock *sync.RWMutex, after bool, maxConns int) *Engine {
+// newEngineWithDelayedReads returns an engine whose goroutines read responses only while the lock is free.
+func newEngineWithDelayedReads(t testing.TB, log *lbtest.Log, lock *sync.RWMutex, afterRead bool, maxConns int) *Engine {
 	t.Helper()
-	const objective = time.Second // an endpoint is silent after half of it
+	const objective = time.Second // an endpoint counts as silent after half of this
 	c, err := config.Load(lbtest.WriteConfig(t, "", "127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
@@ -70,109 +70,109 @@
 		if err != nil {
 			return nil, err
 		}
-		return delayedReadConn{conn.(*net.TCPConn), lock, after}, nil
+		return delayedReadConn{conn.(*net.TCPConn), lock, afterRead}, nil
 	}
 	client := upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: maxConns, Dial: dial})
-	h, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, Watch: func() {}, Client: client,
+	engine, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, Watch: func() {}, Client: client,
 		Log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h
+	return engine
 }
 
-// Endpoints whose answers have arrived, and are read late, are not ejected and their requests not hedged; one that hangs is
-// found meanwhile (docs/incidents/answers-read-late.md).
+// An endpoint whose responses have arrived but are read late must not be ejected, and its requests must not be hedged. An endpoint
+// that hangs meanwhile must be ejected (docs/incidents/answers-read-late.md).
 func TestDelayedReadsEjectOnlyUnresponsiveEndpoint(t *testing.T) {
 	t.Parallel()
-	for _, after := range []bool{false, true} {
-		t.Run(fmt.Sprintf("late after the read %t", after), func(t *testing.T) {
+	for _, afterRead := range []bool{false, true} {
+		t.Run(fmt.Sprintf("delayed after the read %t", afterRead), func(t *testing.T) {
 			t.Parallel()
 			const requests = 9
 			var log lbtest.Log
 			var lock sync.RWMutex
-			h := newEngineWithDelayedReads(t, &log, &lock, after, 64)
+			engine := newEngineWithDelayedReads(t, &log, &lock, afterRead, 64)
 			var mu sync.Mutex
 			arrivals := map[string]int{}
 			hung := map[string]bool{}
 			var list []endpointlist.Endpoint
 			for i := range 3 {
-				e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
+				server := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) {
 					mu.Lock()
 					defer mu.Unlock()
-					id := a.Request.Header.Get("X-Request-Id")
+					id := arrival.Request.Header.Get("X-Request-Id")
 					arrivals[id]++
 					if i == 0 {
 						hung[id] = true
 						return
 					}
-					a.OK()
+					arrival.OK()
 				})
-				list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("s", i), Address: e.Addr, Zone: "a", Status: "ready"})
+				list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("s", i), Address: server.Addr, Zone: "a", Status: "ready"})
 			}
-			h.UpdateEndpoints(lbpolicy.Full, list)
+			engine.UpdateEndpoints(lbpolicy.Full, list)
 			lock.Lock()
 			calls := map[string]*Call{}
 			for i := range requests {
 				id := fmt.Sprint("r", i)
-				calls[id] = beginGet(h, id, lbtest.Wait)
+				calls[id] = beginGet(engine, id, lbtest.Wait)
 			}
-			lbtest.Until(t, "each request is at an endpoint", func() bool {
+			lbtest.Until(t, "each request has arrived at an endpoint", func() bool {
 				mu.Lock()
 				defer mu.Unlock()
 				return len(arrivals) == requests
 			})
-			hangs := fmt.Sprintf("server %d out: silent", h.serverID("s0"))
+			ejection := fmt.Sprintf("server %d out: silent", engine.serverID("s0"))
 			lbtest.Until(t, "the endpoint that hangs is ejected", func() bool {
-				beginGet(h, "another", time.Millisecond) // decisions come with events
-				return log.Contains(hangs)
+				beginGet(engine, "another", time.Millisecond) // the policy takes decisions only when it gets an event
+				return log.Contains(ejection)
 			})
-			lbtest.Until(t, "its requests are hedged", func() bool { return log.Contains("hedged request") })
+			lbtest.Until(t, "requests at the endpoint that hangs are hedged", func() bool { return log.Contains("hedged request") })
 			lock.Unlock()
 			for id, c := range calls {
-				if a := awaitResult(t, c); a.Response == nil {
-					t.Errorf("%s: %+v", id, a)
+				if result := awaitResult(t, c); result.Response == nil {
+					t.Errorf("request %s: got %+v, want a response", id, result)
 				}
 			}
-			lbtest.Until(t, "nothing is held", func() bool { return h.InFlight() == 0 })
+			lbtest.Until(t, "no call is in flight", func() bool { return engine.InFlight() == 0 })
 			if n := strings.Count(log.String(), " out: "); n != 1 {
-				t.Errorf("%d ejections: %s", n, log.String())
+				t.Errorf("%d ejections, want 1; log: %s", n, log.String())
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			if len(hung) == 0 || len(hung) == requests {
-				t.Errorf("tests little: %d requests hang", len(hung))
+				t.Errorf("%d requests hang, want some but not all, or the test proves nothing", len(hung))
 			}
 			for id, n := range arrivals {
 				if n > 1 && !hung[id] {
-					t.Errorf("%s came %d times", id, n)
+					t.Errorf("request %s arrived %d times without having hung, want once", id, n)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkServerProgress shows the cost of a verdict: 200 attempts in flight, none of them answered.
+// BenchmarkServerProgress measures one call of ServerProgress for a server with 200 attempts in flight, none of which has a response.
 func BenchmarkServerProgress(b *testing.B) {
 	const requests = 200
 	var log lbtest.Log
 	var lock sync.RWMutex
-	h := newEngineWithDelayedReads(b, &log, &lock, false, 4*requests)
+	engine := newEngineWithDelayedReads(b, &log, &lock, false, 4*requests)
 	arrived := make(chan struct{}, requests)
-	e := lbtest.NewEndpoint(b, func(*lbtest.Arrival) { arrived <- struct{}{} })
-	h.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(e.Addr, "ready")})
+	server := lbtest.NewEndpoint(b, func(*lbtest.Arrival) { arrived <- struct{}{} })
+	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(server.Addr, "ready")})
 	for i := range requests {
-		beginGet(h, fmt.Sprint("r", i), lbtest.Wait)
+		beginGet(engine, fmt.Sprint("r", i), lbtest.Wait)
 	}
 	for range requests {
 		<-arrived
 	}
-	id := h.serverID("s")
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	id := engine.serverID("s")
+	engine.mu.Lock()
+	defer engine.mu.Unlock()
 	for b.Loop() {
-		if (actions{h}).ServerProgress(id).HasUnreadAnswer {
-			b.Fatal("nothing has arrived")
+		if (actions{engine}).ServerProgress(id).HasUnreadAnswer {
+			b.Fatal("HasUnreadAnswer = true, but no response was sent")
 		}
 	}
 }
--- a/internal/balancer/engine/stream.go
+++ b/internal/balancer/engine/stream.go
@@ -41,22 +41,22 @@
 	if c.timeLeftAfterBody == 0 {
 		return
 	}
-	left := e.limitToShutdown(c.timeLeftAfterBody - time.Since(receivedAt))
+	timeLeft := e.limitToShutdown(c.timeLeftAfterBody - time.Since(receivedAt))
 	c.timeLeftAfterBody = 0
-	c.request.Deadline = time.Now().Add(left)
+	c.request.Deadline = time.Now().Add(timeLeft)
 	if !c.done {
-		c.deadlineTimer.Reset(left)
+		c.deadlineTimer.Reset(timeLeft)
 	}
-	e.balancer.RequestBodyReceived(now, c.id, left)
+	e.balancer.RequestBodyReceived(now, c.id, timeLeft)
 	e.setDispatchPending(now, c, a, false)
 }
 
 // streamResponse delivers a response whose body is still arriving, and returns once the body has been closed. For the policy, the
 // attempt ends with the first bytes of the response. From then on the client reads the response without a deadline, and the response
 // occupies nothing but a connection of the endpoint.
-func (e *Engine) streamResponse(c *Call, a *attempt, v lbpolicy.Verdict, response *upstream.Response) {
+func (e *Engine) streamResponse(c *Call, a *attempt, verdict lbpolicy.Verdict, response *upstream.Response) {
 	stream := response.Stream
-	if v != lbpolicy.OK { // the body of a failure is not read
+	if verdict != lbpolicy.OK { // the body of a failure is not read
 		stream.Close()
 		response.Stream = nil
 		return
@@ -67,7 +67,7 @@
 	e.processEvent(func(now time.Duration) {
 		accepted = !a.ended && !c.done
 		if accepted {
-			e.endAttempt(now, c, a, v, response)
+			e.endAttempt(now, c, a, verdict, response)
 		}
 	})
 	if !accepted {
