--- a/internal/balancer/failover/failover.go
+++ b/internal/balancer/failover/failover.go
@@ -1,6 +1,6 @@
-// Package failover decides which clusters a request is given to, one after the other: its own, the one where its key may
-// have run, and the failover cluster of its route. It does no I/O and reads no clock. Which endpoint of a cluster gets the
-// request, and whether it is retried there, is decided by package lbpolicy.
+// Package failover decides to which clusters a request is sent, one after the other: the cluster of its route, the cluster where an
+// attempt with its idempotency key may have run, and the failover cluster of its route. It does no I/O and reads no clock. Package
+// lbpolicy decides which endpoint of a cluster gets the request, and whether the request is retried within the cluster.
 package failover
 
 import (
@@ -11,20 +11,20 @@
 	"silvertrail/lbpolicy"
 )
 
-// Request is what a plan is made for.
+// Request describes the request that a plan is made for.
 type Request struct {
-	Cluster     string // that its route names
-	Failover    string // empty: none
+	Cluster     string // cluster of the route
+	Failover    string // failover cluster of the route; empty: none
 	Effect      lbpolicy.Effect
-	MaxAttempts int // over all clusters; 0: no bound of its own
+	MaxAttempts int // over all clusters; 0: the request sets no limit of its own
 	Deadline    time.Time
 }
 
-// Result is how a cluster has ended a request.
+// Result is the result of a request in one cluster.
 type Result struct {
 	Served     bool
-	MayHaveRun bool // an attempt may have run, or is running
-	Attempts   int  // that were made
+	MayHaveRun bool // an attempt may have run, or is still running
+	Attempts   int  // number of attempts made
 }
 
 // Plan is the sequence of clusters of one request. It is not safe for concurrent use.
@@ -34,10 +34,11 @@
 	attempts int
 }
 
-// New returns the plan of a request that was given to no cluster yet.
+// New returns the plan of a request that has not been sent to any cluster yet.
 func New(r Request) *Plan { return &Plan{request: r} }
 
-// First returns the first cluster, given what is known of the request's key.
+// First returns the first cluster. It is the one where an attempt with the request's key may have run, or else the cluster of the
+// route.
 func (p *Plan) First(key idempotency.KeyState) (cluster string) {
 	cluster = p.request.Cluster
 	if key.Known {
@@ -47,11 +48,11 @@
 	return cluster
 }
 
-// Next returns the next cluster after the result of the one before; ok is false if there is none. Each cluster gets the
-// request once, while time and attempts are left:
+// Next returns the cluster that follows, given the result of the previous one; ok is false if there is none. Each cluster gets the
+// request at most once, and only before the deadline and while attempts are left:
 //
-//   - an idempotent request, and one that is known never to have run, goes to the failover cluster;
-//   - a request with a key goes where the key may have run, as another request with it may have reserved it meanwhile.
+//   - an idempotent request, and any request that is known never to have run, goes to the failover cluster;
+//   - a request with a key goes to the cluster where the key may have run, because another request may have reserved it there meanwhile.
 func (p *Plan) Next(now time.Time, r Result, key idempotency.KeyState) (cluster string, ok bool) {
 	p.attempts += r.Attempts
 	if r.Served || !now.Before(p.request.Deadline) || p.isExhausted() {
@@ -80,7 +81,7 @@
 	return p.request.MaxAttempts > 0 && p.attempts >= p.request.MaxAttempts
 }
 
-// AttemptsLeft returns how many attempts are left to the request; 0: it has no bound of its own.
+// AttemptsLeft returns how many attempts the request has left. It returns 0 if the request sets no limit of its own.
 func (p *Plan) AttemptsLeft() int {
 	if p.request.MaxAttempts == 0 {
 		return 0
@@ -88,13 +89,14 @@
 	return p.request.MaxAttempts - p.attempts
 }
 
-// MayReject reports whether a request that was not served may be rejected, which tells its client that a retry is harmless. It
-// may not if its key may have run, unless all endpoints drop its repeats, and still do.
+// MayReject reports whether a request that was not served may be rejected. A rejection tells the client that a retry is harmless. If an
+// attempt with the key may have run, this holds only if all endpoints drop repeats, and only until RetryUntil.
 func MayReject(now time.Time, key idempotency.KeyState, scope lbpolicy.Scope) bool {
 	return !key.Known || scope == lbpolicy.ScopeAll && now.Before(key.RetryUntil)
 }
 
-// NeedsFleetClaim reports whether a key must be claimed in the whole fleet, as its repeats can reach endpoints that do not know it.
+// NeedsFleetClaim reports whether a key must be claimed in the whole fleet, because its repeats can reach endpoints that do not know
+// the key.
 func NeedsFleetClaim(scope lbpolicy.Scope, severalClusters bool) bool {
 	return scope != lbpolicy.ScopeAll || severalClusters
 }
--- a/internal/balancer/failover/failover_test.go
+++ b/internal/balancer/failover/failover_test.go
@@ -12,86 +12,87 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-func at(cluster string) idempotency.KeyState {
+// mayHaveRunIn returns the state of a key that may have run in a cluster, and may be retried there until one second after t0.
+func mayHaveRunIn(cluster string) idempotency.KeyState {
 	return idempotency.KeyState{Known: true, Place: idempotency.Place{Cluster: cluster}, RetryUntil: t0.Add(time.Second)}
 }
 
-// What may be sent where, for each effect and each way in which the first cluster can end a request.
-func TestNext(t *testing.T) {
-	none := idempotency.KeyState{}
+// The next cluster, for each effect and each result of the first cluster.
+func TestNextFollowsEffectAndResult(t *testing.T) {
+	unknownKey := idempotency.KeyState{}
 	for _, c := range []struct {
-		name   string
-		effect lbpolicy.Effect
-		r      Result
-		past   idempotency.KeyState
-		want   string
+		name     string
+		effect   lbpolicy.Effect
+		result   Result
+		keyState idempotency.KeyState
+		want     string
 	}{
-		{"safe, may have run", lbpolicy.Idempotent, Result{MayHaveRun: true, Attempts: 1}, none, "spare"},
-		{"served", lbpolicy.Idempotent, Result{Served: true, Attempts: 1}, none, ""},
-		{"attempts spent", lbpolicy.Idempotent, Result{Attempts: 3}, none, ""},
-		{"unsafe, never ran", lbpolicy.NonIdempotent, Result{Attempts: 1}, none, "spare"},
-		{"unsafe, may have run", lbpolicy.NonIdempotent, Result{MayHaveRun: true, Attempts: 1}, none, ""},
-		{"keyed, never ran", lbpolicy.KeyedIdempotent, Result{Attempts: 1}, none, "spare"},
-		{"keyed, may have run here", lbpolicy.KeyedIdempotent, Result{MayHaveRun: true, Attempts: 1}, at("own"), ""},
-		{"keyed, bound elsewhere meanwhile", lbpolicy.KeyedIdempotent, Result{Attempts: 1}, at("third"), "third"},
+		{"safe, may have run", lbpolicy.Idempotent, Result{MayHaveRun: true, Attempts: 1}, unknownKey, "spare"},
+		{"served", lbpolicy.Idempotent, Result{Served: true, Attempts: 1}, unknownKey, ""},
+		{"attempts exhausted", lbpolicy.Idempotent, Result{Attempts: 3}, unknownKey, ""},
+		{"unsafe, never ran", lbpolicy.NonIdempotent, Result{Attempts: 1}, unknownKey, "spare"},
+		{"unsafe, may have run", lbpolicy.NonIdempotent, Result{MayHaveRun: true, Attempts: 1}, unknownKey, ""},
+		{"keyed, never ran", lbpolicy.KeyedIdempotent, Result{Attempts: 1}, unknownKey, "spare"},
+		{"keyed, may have run here", lbpolicy.KeyedIdempotent, Result{MayHaveRun: true, Attempts: 1}, mayHaveRunIn("own"), ""},
+		{"keyed, reserved by another request meanwhile", lbpolicy.KeyedIdempotent, Result{Attempts: 1}, mayHaveRunIn("third"), "third"},
 	} {
-		p := New(Request{Cluster: "own", Failover: "spare", Effect: c.effect, MaxAttempts: 3, Deadline: t0.Add(time.Second)})
-		if first := p.First(none); first != "own" {
-			t.Errorf("%s: first to %q", c.name, first)
+		plan := New(Request{Cluster: "own", Failover: "spare", Effect: c.effect, MaxAttempts: 3, Deadline: t0.Add(time.Second)})
+		if first := plan.First(unknownKey); first != "own" {
+			t.Errorf("%s: First = %q, want \"own\"", c.name, first)
 		}
-		to, ok := p.Next(t0, c.r, c.past)
-		if to != c.want || ok != (c.want != "") {
-			t.Errorf("%s: to %q", c.name, to)
+		cluster, ok := plan.Next(t0, c.result, c.keyState)
+		if cluster != c.want || ok != (c.want != "") {
+			t.Errorf("%s: unexpected next cluster %q", c.name, cluster)
 		}
-		if to, ok := p.Next(t0.Add(time.Second), Result{}, none); ok {
-			t.Errorf("%s: to %q after the deadline", c.name, to)
+		if cluster, ok := plan.Next(t0.Add(time.Second), Result{}, unknownKey); ok {
+			t.Errorf("%s: next cluster is %q after the deadline, want none", c.name, cluster)
 		}
 	}
-	if to := New(Request{Cluster: "own"}).First(at("third")); to != "third" {
-		t.Errorf("a repeat goes to %q", to)
+	if cluster := New(Request{Cluster: "own"}).First(mayHaveRunIn("third")); cluster != "third" {
+		t.Errorf("First = %q for a key that may have run in \"third\", want \"third\"", cluster)
 	}
-	if MayReject(t0, at("c"), lbpolicy.ScopeZone) || !MayReject(t0, at("c"), lbpolicy.ScopeAll) ||
-		MayReject(t0.Add(time.Second), at("c"), lbpolicy.ScopeAll) || !MayReject(t0, none, lbpolicy.ScopeCell) {
-		t.Error("refusals")
+	if MayReject(t0, mayHaveRunIn("c"), lbpolicy.ScopeZone) || !MayReject(t0, mayHaveRunIn("c"), lbpolicy.ScopeAll) ||
+		MayReject(t0.Add(time.Second), mayHaveRunIn("c"), lbpolicy.ScopeAll) || !MayReject(t0, unknownKey, lbpolicy.ScopeCell) {
+		t.Error("MayReject must be true for an unknown key, and for a known one only with ScopeAll before RetryUntil")
 	}
 }
 
-// Whatever happens at the clusters, a plan ends, gives no cluster the request twice, and never takes one that may have run
-// to another cluster unless it is safe.
-func TestPlan(t *testing.T) {
+// For any results of the clusters, a plan ends and sends the request to no cluster twice. A request that may have run is not sent to
+// another cluster unless it is idempotent.
+func TestPlanNeverRepeatsUnsafely(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		name := rapid.SampledFrom([]string{"a", "b", "c"})
-		r := Request{Cluster: name.Draw(t, "to"), Failover: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "failover"),
+		clusterName := rapid.SampledFrom([]string{"a", "b", "c"})
+		request := Request{Cluster: clusterName.Draw(t, "to"), Failover: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "failover"),
 			Effect:      rapid.SampledFrom([]lbpolicy.Effect{lbpolicy.Idempotent, lbpolicy.KeyedIdempotent, lbpolicy.NonIdempotent}).Draw(t, "effect"),
 			MaxAttempts: rapid.IntRange(0, 4).Draw(t, "most"), Deadline: t0.Add(time.Second)}
-		past := idempotency.KeyState{}
-		if r.Effect == lbpolicy.KeyedIdempotent && rapid.Bool().Draw(t, "repeat") {
-			past = at(name.Draw(t, "past"))
+		keyState := idempotency.KeyState{}
+		if request.Effect == lbpolicy.KeyedIdempotent && rapid.Bool().Draw(t, "repeat") {
+			keyState = mayHaveRunIn(clusterName.Draw(t, "past"))
 		}
-		p := New(r)
-		to, made := p.First(past), 0
-		been := map[string]bool{to: true}
+		plan := New(request)
+		cluster, attempts := plan.First(keyState), 0
+		visited := map[string]bool{cluster: true}
 		for {
-			res := Result{MayHaveRun: rapid.Bool().Draw(t, "ran"), Attempts: rapid.IntRange(0, 2).Draw(t, "attempts")}
-			made += res.Attempts
+			result := Result{MayHaveRun: rapid.Bool().Draw(t, "ran"), Attempts: rapid.IntRange(0, 2).Draw(t, "attempts")}
+			attempts += result.Attempts
 			switch {
-			case r.Effect != lbpolicy.KeyedIdempotent:
-			case res.MayHaveRun:
-				past = at(to)
-			case !past.Known && rapid.Bool().Draw(t, "meanwhile"):
-				past = at(name.Draw(t, "by another"))
+			case request.Effect != lbpolicy.KeyedIdempotent:
+			case result.MayHaveRun:
+				keyState = mayHaveRunIn(cluster)
+			case !keyState.Known && rapid.Bool().Draw(t, "meanwhile"):
+				keyState = mayHaveRunIn(clusterName.Draw(t, "by another"))
 			}
-			next, ok := p.Next(t0, res, past)
+			next, ok := plan.Next(t0, result, keyState)
 			if !ok {
 				return
 			}
-			if been[next] || r.MaxAttempts > 0 && made >= r.MaxAttempts {
-				t.Fatalf("to %s again, or over its attempts", next)
+			if visited[next] || request.MaxAttempts > 0 && attempts >= request.MaxAttempts {
+				t.Fatalf("next cluster is %s, which has had the request, or no attempts are left", next)
 			}
-			if res.MayHaveRun && r.Effect != lbpolicy.Idempotent || past.Known && next != past.Place.Cluster {
-				t.Fatalf("from %s to %s: it may have run", to, next)
+			if result.MayHaveRun && request.Effect != lbpolicy.Idempotent || keyState.Known && next != keyState.Place.Cluster {
+				t.Fatalf("request that may have run goes from %s to %s", cluster, next)
 			}
-			been[next], to = true, next
+			visited[next], cluster = true, next
 		}
 	})
 }
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota divides a bounded resource of the process (connections, bytes of bodies, requests in progress) among
-// clusters, so that one that hangs cannot take what the others need. It does no I/O, reads no clock and never waits: what
-// is not available now is rejected now.
+// Package quota divides a bounded resource of the process (connections, bytes of bodies, requests in progress) among clusters, so
+// that a cluster that hangs cannot use up the units that the others need. It does no I/O, reads no clock and never waits: units that
+// are not available now are refused at once.
 //
-// Each allocation has a reserve that nobody else can use, and a limit. What lies between is first come, first served,
-// from the part of the pool that is reserved for nobody.
+// Each allocation has a reserve, which no other allocation can use, and a limit. Units between the reserve and the limit are granted
+// first come, first served, from the part of the pool that no allocation has reserved.
 package quota
 
 import (
@@ -13,7 +13,7 @@
 	"sync"
 )
 
-// ErrExhausted means that an allocation has no units left now.
+// ErrExhausted means that the units requested from an allocation are not available now.
 var ErrExhausted = errors.New("quota: exhausted")
 
 // Pool is a bounded resource. It is safe for concurrent use.
@@ -24,10 +24,10 @@
 	committed int64 // the sum over the allocations of the larger of reserve and use
 }
 
-// NewPool returns a pool of a number of units.
+// NewPool returns a pool with a total number of units.
 func NewPool(total int64) *Pool { return &Pool{total: total} }
 
-// Resize changes the number of units. Units in use stay in use.
+// Resize changes the total number of units. Units in use stay in use.
 func (p *Pool) Resize(total int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,15 +48,15 @@
 	used           int64
 }
 
-// Allocate returns a new allocation with a reserve and a limit. It always succeeds; where the reserves together exceed the
-// pool, the pool's bound holds and the reserves do not. Configurations are checked for that beforehand.
+// Allocate returns a new allocation with a reserve and a limit. It always succeeds. If the reserves together exceed the pool, the total
+// of the pool holds and the reserves are not guaranteed. The configuration is checked for that beforehand.
 func (p *Pool) Allocate(reserve, limit int64) *Allocation {
 	a := &Allocation{pool: p}
 	a.Resize(reserve, limit)
 	return a
 }
 
-// Resize changes the reserve and the limit. Units in use stay in use; above the new limit none is added.
+// Resize changes the reserve and the limit. Units in use stay in use, but none are added above the new limit.
 func (a *Allocation) Resize(reserve, limit int64) {
 	p := a.pool
 	p.mu.Lock()
@@ -65,7 +65,7 @@
 	a.reserve, a.limit = reserve, limit
 }
 
-// Close returns the reserve. Units in use stay in use until they are released.
+// Close gives up the reserve. Units in use stay in use until they are released.
 func (a *Allocation) Close() { a.Resize(0, 0) }
 
 // Used returns the number of units that the allocation has in use.
@@ -75,7 +75,7 @@
 	return a.used
 }
 
-// TryAcquire takes n units, or none.
+// TryAcquire takes n units. If not all of them are available it takes none and returns false.
 func (a *Allocation) TryAcquire(n int64) bool {
 	p := a.pool
 	p.mu.Lock()
@@ -93,11 +93,11 @@
 	return true
 }
 
-// Acquire is TryAcquire with the signature of a semaphore. It never waits: a request that waits for memory holds a connection
-// that others could use.
+// Acquire is TryAcquire with the signature of a semaphore. It never waits, because a request that waited for memory would hold a
+// connection that others could use.
 func (a *Allocation) Acquire(_ context.Context, n int64) error {
 	if !a.TryAcquire(n) {
-		return fmt.Errorf("%w: %d more than there is", ErrExhausted, n)
+		return fmt.Errorf("%w: %d units requested, fewer available", ErrExhausted, n)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n < 0 || n > a.used {
-		panic("quota: released more than held")
+		panic("quota: released more units than are in use")
 	}
 	p.committed -= max(a.reserve, a.used) - max(a.reserve, a.used-n)
 	a.used -= n
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -8,106 +8,107 @@
 	"testing"
 )
 
-// Whatever comes: the total holds, no share passes its cap, and a share under its reserve is never refused.
-func TestModel(t *testing.T) {
-	d := rand.New(rand.NewPCG(3, 5))
+// For any sequence of calls, the total of the pool and the limits of the allocations hold, and no allocation is refused units within
+// its reserve. Units are refused only if the limit or the unreserved part of the pool does not allow them.
+func TestLimitsAndReservesHold(t *testing.T) {
+	random := rand.New(rand.NewPCG(3, 5))
 	for range 200 {
 		const total = 100
-		p := NewPool(total)
-		reserves := []int64{d.Int64N(30), d.Int64N(30), d.Int64N(40)}
-		var shares []*Allocation
-		for _, r := range reserves {
-			shares = append(shares, p.Allocate(r, r+d.Int64N(60)))
+		pool := NewPool(total)
+		reserves := []int64{random.Int64N(30), random.Int64N(30), random.Int64N(40)}
+		var allocations []*Allocation
+		for _, reserve := range reserves {
+			allocations = append(allocations, pool.Allocate(reserve, reserve+random.Int64N(60)))
 		}
-		held := make([]int64, len(shares))
+		inUse := make([]int64, len(allocations))
 		for range 500 {
-			i := d.IntN(len(shares))
-			s, n := shares[i], 1+d.Int64N(12)
-			if d.IntN(2) == 0 {
-				n = min(n, held[i])
-				s.Release(n)
-				held[i] -= n
+			i := random.IntN(len(allocations))
+			allocation, n := allocations[i], 1+random.Int64N(12)
+			if random.IntN(2) == 0 {
+				n = min(n, inUse[i])
+				allocation.Release(n)
+				inUse[i] -= n
 				continue
 			}
-			ok := s.TryAcquire(n)
-			if !ok && held[i]+n <= s.reserve {
-				t.Fatalf("refused %d within its reserve: holds %d of %d", n, held[i], s.reserve)
+			ok := allocation.TryAcquire(n)
+			if !ok && inUse[i]+n <= allocation.reserve {
+				t.Fatalf("%d units refused within the reserve: %d of %d in use", n, inUse[i], allocation.reserve)
 			}
 			if ok {
-				held[i] += n
+				inUse[i] += n
 			}
 			sum := int64(0)
-			for j, h := range held {
-				sum += h
-				if h > shares[j].limit || h != shares[j].Used() {
-					t.Fatalf("share %d holds %d of %d", j, h, shares[j].limit)
+			for j, units := range inUse {
+				sum += units
+				if units > allocations[j].limit || units != allocations[j].Used() {
+					t.Fatalf("allocation %d has %d units in use, over its limit %d or not what Used returns", j, units, allocations[j].limit)
 				}
 			}
-			if sum > total || sum != p.Used() {
-				t.Fatalf("%d of %d in use, the pool says %d", sum, total, p.Used())
+			if sum > total || sum != pool.Used() {
+				t.Fatalf("%d of %d units in use, Used of the pool returns %d", sum, total, pool.Used())
 			}
-			// Not refused for nothing: there was no room at all, in the cap or in what is nobody's reserve.
+			// Units are refused only if they exceed the limit or the part of the pool that is neither in use nor reserved.
 			free := int64(total)
-			for j, h := range held {
-				free -= max(h, reserves[j])
+			for j, units := range inUse {
+				free -= max(units, reserves[j])
 			}
-			if !ok && held[i]+n <= s.limit && n <= free {
-				t.Fatalf("refused %d where %d are free", n, free)
+			if !ok && inUse[i]+n <= allocation.limit && n <= free {
+				t.Fatalf("%d units refused although %d are free", n, free)
 			}
 		}
 	}
 }
 
-func TestResize(t *testing.T) {
-	p := NewPool(10)
-	a, b := p.Allocate(2, 10), p.Allocate(2, 10)
+func TestCloseAndResizeApplyToLaterCalls(t *testing.T) {
+	pool := NewPool(10)
+	a, b := pool.Allocate(2, 10), pool.Allocate(2, 10)
 	if !a.TryAcquire(8) || a.TryAcquire(1) || !b.TryAcquire(2) || b.TryAcquire(1) {
-		t.Fatal("shares at the start")
+		t.Fatal("the first allocation must get 8 of 10 units and no more, and the second its reserve of 2 and no more")
 	}
-	a.Close() // with 8 in use
+	a.Close() // with 8 units in use
 	if a.TryAcquire(1) || b.TryAcquire(1) {
-		t.Error("given while all is in use")
+		t.Error("TryAcquire succeeded while all units were in use")
 	}
 	a.Release(8)
-	if !b.TryAcquire(8) || p.Used() != 10 {
-		t.Error("what a closed share gave back is not to be had")
+	if !b.TryAcquire(8) || pool.Used() != 10 {
+		t.Error("units that a closed allocation released are not available to the other one")
 	}
 	b.Resize(0, 4)
 	b.Release(5)
 	if b.TryAcquire(1) {
-		t.Error("passed its new cap")
+		t.Error("TryAcquire succeeded above the new limit")
 	}
 	if err := b.Acquire(context.Background(), 1); !errors.Is(err, ErrExhausted) {
 		t.Error(err)
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("more given back than held")
+			t.Error("Release of more units than are in use did not panic")
 		}
 	}()
 	b.Release(6)
 }
 
-func TestConcurrent(t *testing.T) {
-	p := NewPool(16)
-	var all sync.WaitGroup
+func TestConcurrentUseKeepsTotal(t *testing.T) {
+	pool := NewPool(16)
+	var goroutines sync.WaitGroup
 	for range 4 {
-		s := p.Allocate(2, 8)
+		allocation := pool.Allocate(2, 8)
 		for range 4 {
-			all.Go(func() {
+			goroutines.Go(func() {
 				for range 2000 {
-					if s.TryAcquire(3) {
-						if p.Used() > 16 {
-							t.Error("over the total")
+					if allocation.TryAcquire(3) {
+						if pool.Used() > 16 {
+							t.Error("more units in use than the total of the pool")
 						}
-						s.Release(3)
+						allocation.Release(3)
 					}
 				}
 			})
 		}
 	}
-	all.Wait()
-	if p.Used() != 0 {
-		t.Errorf("%d left", p.Used())
+	goroutines.Wait()
+	if pool.Used() != 0 {
+		t.Errorf("%d units in use after all were released", pool.Used())
 	}
 }
