--- a/internal/balancer/idempotency/keystate.go
+++ b/internal/balancer/idempotency/keystate.go
@@ -1,18 +1,19 @@
-// Package idempotency remembers, for each idempotency key, where attempts with it may have run or are running, since when,
-// and for how long the endpoints there drop a repeat. Every further attempt with the key is kept inside the group of
-// endpoints that drops repeats, and no further one is made once they may have forgotten the key.
+// Package idempotency records for each idempotency key where attempts may have run or are running, when they were sent, and how long
+// the endpoints there drop repeats. Every further attempt with the key stays within the group of endpoints that drops repeats. No
+// further attempt is made once these endpoints may have forgotten the key.
 //
-// The package does no I/O and reads no clock: the time is an argument of each call. A Table is shared by all requests of
-// a process and serialises its calls with one mutex.
+// The package does no I/O and reads no clock: the time is an argument of each call. A Table is shared by all requests of a process and
+// serialises its calls with one mutex.
 //
-// The table records attempts, not only requests: clients give up and retry while the first attempt still runs. So a key
-// is reserved from the decision to send on, and is free again only if every attempt is known never to have run.
+// The table records attempts, not only requests, because clients give up and retry while the first attempt is still running. A key is
+// therefore reserved as soon as an attempt has been decided on. It becomes free again only if every attempt is known never to have
+// run.
 //
-// It records places (cluster, zone, cell) independently of the scope of a class: the scope is an argument of each
-// question. So a reload that changes scopes, or moves an endpoint to another zone, changes nothing of what is known.
+// The table records places (cluster, zone, cell) independently of the scope of a class. The scope is an argument of each query, so
+// that a reload which changes scopes, or moves an endpoint to another zone, does not change the recorded state.
 //
-// The table knows what this process has sent. It knows of other processes, and of the time before a restart, only what
-// Merge is told.
+// The table records the attempts of this process. Attempts of other processes, or from before a restart, are known only as far as
+// Merge was called with them.
 package idempotency
 
 import (
@@ -25,21 +26,22 @@
 )
 
 var (
-	// ErrTooManyKeys means that no more keys can be remembered now. Nothing was sent; the request can be rejected.
+	// ErrTooManyKeys means that the table is full. Nothing was sent, so the request can be rejected.
 	ErrTooManyKeys = errors.New("idempotency: too many keys")
 	// ErrKeyReused means that the key was used before with another target or body.
 	ErrKeyReused = errors.New("idempotency: the key belongs to another request")
-	// ErrHeldElsewhere means that the key may have run, or is running, where other endpoints drop its repeats.
+	// ErrHeldElsewhere means that an attempt with the key may have run, or is running, in another group of endpoints, which drops its
+	// repeats.
 	ErrHeldElsewhere = errors.New("idempotency: the key is held by another group of endpoints")
-	// ErrWindowOver means that endpoints may have forgotten the key.
+	// ErrWindowOver means that the key's retry window has ended: endpoints may have forgotten the key by the time a repeat arrives.
 	ErrWindowOver = errors.New("idempotency: the key's window is over")
 )
 
-// KeyID identifies a tenant's key. It is a 128-bit cryptographic hash: collisions are not to be expected.
+// KeyID identifies a tenant's key. It is a 128-bit cryptographic hash, for which no collisions are expected.
 type KeyID [16]byte
 
-// KeyIDOf returns the ID of a tenant's key. It is the same in every process. The class is no part of it: a key identifies
-// one request of its tenant, and a reload that gives the request's route another class must not free the key.
+// KeyIDOf returns the ID of a tenant's key, which is the same in every process. The class is not part of it, because a key identifies
+// one request of its tenant: a reload that gives the request's route another class must not free the key.
 func KeyIDOf(tenant, key string) KeyID { return KeyID(digest([]byte(tenant), []byte(key))) }
 
 // Fingerprint identifies the content of a request. The zero Fingerprint matches any request.
@@ -50,7 +52,7 @@
 	return Fingerprint(digest([]byte(method), []byte(target), body))
 }
 
-// digest hashes parts, each with its length before it.
+// digest hashes the parts, each prefixed with its length, so that different lists of parts differ in the hashed bytes.
 func digest(parts ...[]byte) (out [16]byte) {
 	var space [256]byte
 	text := space[:0]
@@ -63,42 +65,43 @@
 	return out
 }
 
-// Place is where an attempt went.
+// Place is the place to which an attempt was sent.
 type Place struct {
 	Cluster string `codec:"Cluster"`
 	Zone    string `codec:"Zone"`
 	Cell    int    `codec:"Cell"`
 }
 
-// Terms are what a class guarantees for its keys when an attempt is sent.
+// Terms are the guarantees that a class gives for its keys at the time when an attempt is sent.
 type Terms struct {
 	Scope     lbpolicy.Scope
-	Window    time.Duration // for which endpoints drop repeats, from the sending of an attempt on
-	Retention time.Duration // for which the key is known after the window, so that repeats are not taken for new requests
+	Window    time.Duration // how long endpoints drop repeats after an attempt was sent
+	Retention time.Duration // how long the key is kept after the window, so that repeats are not taken for new requests
 }
 
 const (
-	transitDivider = 8 // of the window
+	transitDivider = 8 // the transit time is at most the window divided by this
 	maxTransitTime = time.Second
 )
 
-// transitTime returns how long a repeat may take from the decision to the endpoint, where it must arrive within the window.
+// transitTime returns how long a repeat may take from the decision to send it until it reaches the endpoint. It must reach the endpoint
+// within the window.
 func (t Terms) transitTime() time.Duration { return min(t.Window/transitDivider, maxTransitTime) }
 
-// RetryWindow returns how long after the sending of an attempt a further one may be decided on.
+// RetryWindow returns how long after an attempt was sent a further one may be decided on.
 func (t Terms) RetryWindow() time.Duration { return t.Window - t.transitTime() }
 
-// KeyState is what is known of the attempts with a key.
+// KeyState summarizes the attempts with a key.
 type KeyState struct {
-	Known bool // an attempt may have run, or is running
-	Place Place
-	// SeveralGroups means that no group of the scope in question holds all places: no further attempt is possible.
+	Known bool  // an attempt may have run, or is running
+	Place Place // of one of these attempts
+	// SeveralGroups means that the places of the attempts lie in several groups of the queried scope. No further attempt is possible.
 	SeveralGroups bool
-	// RetryUntil is when the last further attempt may be decided on.
+	// RetryUntil is the time before which a further attempt may be decided on.
 	RetryUntil time.Time
 }
 
-// Allows reports whether an attempt may go to a place.
+// Allows reports whether an attempt may be sent to a place. It does not consider RetryUntil.
 func (s KeyState) Allows(to Place, scope lbpolicy.Scope) bool {
 	if !s.Known {
 		return true
@@ -106,7 +109,7 @@
 	return !s.SeveralGroups && sameGroup(s.Place, to, scope)
 }
 
-// Merge combines what is known of one key from two sources.
+// Merge combines the states of one key from two sources.
 func (s KeyState) Merge(other KeyState, scope lbpolicy.Scope) KeyState {
 	switch {
 	case !other.Known:
@@ -121,7 +124,7 @@
 	return s
 }
 
-// sameGroup reports whether two places are in one group.
+// sameGroup reports whether two places are in the same group of a scope.
 func sameGroup(a, b Place, scope lbpolicy.Scope) bool {
 	switch {
 	case a.Cluster != b.Cluster:
--- a/internal/balancer/idempotency/request.go
+++ b/internal/balancer/idempotency/request.go
@@ -7,17 +7,17 @@
 	"silvertrail/lbpolicy"
 )
 
-// Request is one request with a key. It must be ended.
+// Request is one request with a key. The caller must call End.
 type Request struct {
 	table *Table
 	entry *entry
 	// InProgress reports whether another request with the key was in progress when this one began.
 	InProgress bool
-	inFlight   int  // attempts
-	mayHaveRun bool // one of its ended attempts
+	inFlight   int  // number of attempts in flight
+	mayHaveRun bool // an ended attempt may have run
 }
 
-// KeyState returns what is known of the request's key.
+// KeyState returns the state of the request's key.
 func (r *Request) KeyState(scope lbpolicy.Scope) KeyState {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -31,7 +31,7 @@
 	return r.mayHaveRun || r.inFlight > 0
 }
 
-// Send reserves the key for an attempt that has been decided on. After an error the attempt must not be sent.
+// Send reserves the key for an attempt that has been decided on. If it returns an error, the attempt must not be sent.
 func (r *Request) Send(now time.Time, to Place, terms Terms) (*Attempt, error) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -48,7 +48,7 @@
 	return a, nil
 }
 
-// End ends the request.
+// End marks the end of the request. Its attempts may still be in flight.
 func (r *Request) End() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -56,7 +56,7 @@
 	r.table.updateExpiry(r.entry)
 }
 
-// Attempt is one attempt. It must be ended, which may be after its request has.
+// Attempt is one attempt with a key. The caller must call End, which may be after the end of the request.
 type Attempt struct {
 	table   *Table
 	entry   *entry
@@ -66,8 +66,8 @@
 	sentAt  time.Time
 }
 
-// MayStart is called just before the attempt's first byte is sent, with the place as it is then. It is false if the attempt must not
-// be sent any more: the window has ended meanwhile, or the endpoint has moved out of the group.
+// MayStart reports whether the attempt may still be sent. It is called just before the first byte is sent, with the place to which the
+// endpoint belongs at that time. It is false if the retry window has ended meanwhile, or the endpoint has moved out of the group.
 func (a *Attempt) MayStart(now time.Time, at Place) bool {
 	a.table.mu.Lock()
 	defer a.table.mu.Unlock()
@@ -78,14 +78,15 @@
 	return !state.Known || now.Before(state.RetryUntil)
 }
 
-// OtherAttempts returns what is known of the key's other attempts.
+// OtherAttempts returns the state of the key without this attempt.
 func (a *Attempt) OtherAttempts() KeyState {
 	a.table.mu.Lock()
 	defer a.table.mu.Unlock()
 	return a.entry.keyState(a.terms.Scope, a)
 }
 
-// End ends the attempt. NeverRan is proof that it was not executed, and never will be. A second call has no effect.
+// End marks the end of the attempt. Set neverRan only if it is certain that the attempt was not executed and never will be. A second
+// call has no effect.
 func (a *Attempt) End(now time.Time, neverRan bool) {
 	a.table.mu.Lock()
 	defer a.table.mu.Unlock()
--- a/internal/balancer/idempotency/table.go
+++ b/internal/balancer/idempotency/table.go
@@ -8,7 +8,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// Table remembers keys. It is safe for concurrent use.
+// Table stores the state of keys. It is safe for concurrent use.
 type Table struct {
 	maxKeys int
 
@@ -17,19 +17,19 @@
 	expiry timerqueue.Queue[*entry]
 }
 
-// entry is what is remembered of one key.
+// entry is the state of one key.
 type entry struct {
 	id           KeyID
 	fingerprint  Fingerprint
-	requests     int        // in progress
-	inFlight     []*Attempt // attempts
+	requests     int        // number of requests in progress
+	inFlight     []*Attempt // attempts in flight
 	ended        summary    // of the attempts that have ended and may have run
 	expiryQueued bool
 }
 
-// summary sums up attempts that may have run.
+// summary combines attempts that may have run.
 type summary struct {
-	mayHaveRun   bool // there is one
+	mayHaveRun   bool // there is at least one attempt
 	place        Place
 	severalZones bool
 	severalCells bool
@@ -70,20 +70,20 @@
 	}
 }
 
-// New returns a table of at most maxKeys keys, of some 200 bytes each.
+// New returns a table of at most maxKeys keys, which take about 200 bytes each.
 func New(maxKeys int) *Table { return &Table{maxKeys: maxKeys, keys: map[KeyID]*entry{}} }
 
-// Resize changes the bound. Keys that are remembered stay.
+// Resize changes the maximum number of keys. Keys that are stored already stay.
 func (t *Table) Resize(maxKeys int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.maxKeys = maxKeys
 }
 
-// expiredPerRequest is how many expired keys are removed for each request.
+// expiredPerRequest is the number of expired keys that each new request removes at most.
 const expiredPerRequest = 2
 
-// Begin adds a request with a key.
+// Begin adds a request with a key. It fails with ErrTooManyKeys or ErrKeyReused.
 func (t *Table) Begin(now time.Time, id KeyID, fingerprint Fingerprint) (*Request, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 	return &Request{table: t, entry: e, InProgress: e.requests > 1 || len(e.inFlight) > 0}, nil
 }
 
-// hasRoom reports whether another key can be remembered, for which it removes expired ones.
+// hasRoom reports whether another key can be stored. If the table is full, it first removes all expired keys.
 func (t *Table) hasRoom(now time.Time) bool {
 	if len(t.keys) >= t.maxKeys {
 		t.expire(now, t.expiry.Len())
@@ -118,7 +118,7 @@
 	return len(t.keys) < t.maxKeys
 }
 
-// KeyState returns what is known of a key, without a request for it.
+// KeyState returns the state of a key. It needs no request with the key.
 func (t *Table) KeyState(now time.Time, id KeyID, scope lbpolicy.Scope) KeyState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,18 +129,18 @@
 	return e.keyState(scope, nil)
 }
 
-// Record is all that is remembered of one key.
+// Record is the complete state of one key.
 type Record struct {
 	ID           KeyID
-	KeyState     KeyState  // under lbpolicy.ScopeAll
-	SeveralZones bool      // attempts went to several zones
-	SeveralCells bool      // attempts went to several cells
-	ExpiresAt    time.Time // with attempts in flight, at the earliest
-	Requests     int       // in progress
-	InFlight     int       // attempts
+	KeyState     KeyState  // with lbpolicy.ScopeAll
+	SeveralZones bool      // attempts were sent to several zones
+	SeveralCells bool      // attempts were sent to several cells
+	ExpiresAt    time.Time // the earliest time, while attempts are in flight
+	Requests     int       // number of requests in progress
+	InFlight     int       // number of attempts in flight
 }
 
-// Find returns the record of a key; ok is false if no attempt with it may have run.
+// Find returns the record of a key. It is false if no attempt with the key may have run.
 func (t *Table) Find(now time.Time, id KeyID) (record Record, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,7 +165,8 @@
 	}
 }
 
-// Each calls f for every key with which an attempt may have run, or a request is in progress, until f returns false.
+// Each calls f with the record of every key for which an attempt may have run or a request is in progress. It stops when f returns
+// false.
 func (t *Table) Each(now time.Time, f func(Record) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +180,8 @@
 	}
 }
 
-// Merge adds what another table knows of a key: attempts that this one has not seen may have run. The bound on keys does not
-// apply, since the other table's does, and an unknown key could run twice.
+// Merge adds the record of a key from another table: attempts that this table has not seen may have run. The maximum number of keys does
+// not apply here. The other table has one, and a request with a key that is not stored could run twice.
 func (t *Table) Merge(now time.Time, record Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,14 +204,14 @@
 	t.updateExpiry(e)
 }
 
-// Len returns the number of keys that are remembered.
+// Len returns the number of stored keys.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.keys)
 }
 
-// summarize sums up all attempts except one.
+// summarize combines all attempts except one, which may be nil.
 func (e *entry) summarize(except *Attempt) summary {
 	s := e.ended
 	for _, a := range e.inFlight {
@@ -221,13 +222,14 @@
 	return s
 }
 
-// keyState returns what follows from all attempts except one.
+// keyState returns the state of the key that results from all attempts except one, which may be nil.
 func (e *entry) keyState(scope lbpolicy.Scope, except *Attempt) KeyState {
 	s := e.summarize(except)
 	return s.keyState(scope)
 }
 
-// updateExpiry removes a key with which nothing was done, and queues one with which an attempt may have run.
+// updateExpiry is called when a request or an attempt has ended. Unless others are still in progress, it removes a key with which no
+// attempt may have run, and queues any other key for its expiry.
 func (t *Table) updateExpiry(e *entry) {
 	switch {
 	case e.requests > 0 || len(e.inFlight) > 0:
@@ -239,7 +241,7 @@
 	}
 }
 
-// isExpired reports whether nothing about a key matters any more.
+// isExpired reports whether a key has no request in progress, no attempt in flight, and has passed its expiry time.
 func (e *entry) isExpired(now time.Time) bool {
 	return e.requests == 0 && len(e.inFlight) == 0 && !now.Before(e.ended.expiresAt)
 }
@@ -257,7 +259,7 @@
 	t.expire(now, t.expiry.Len())
 }
 
-// expire removes expired keys, up to a number.
+// expire examines at most limit keys whose queued expiry time has passed, and removes those that have expired.
 func (t *Table) expire(now time.Time, limit int) {
 	for range limit {
 		e, ok := t.expiry.Pop(now)
@@ -267,7 +269,7 @@
 		e.expiryQueued = false
 		if e.isExpired(now) {
 			t.remove(e)
-		} else { // it was used again, and expires later
+		} else { // the key was used again meanwhile, and expires later
 			t.updateExpiry(e)
 		}
 	}
--- a/internal/balancer/idempotency/table_test.go
+++ b/internal/balancer/idempotency/table_test.go
@@ -13,10 +13,10 @@
 )
 
 var (
-	t0    = time.Unix(1_800_000_000, 0)
-	zone  = Terms{Scope: lbpolicy.ScopeZone, Window: 8 * time.Second, Retention: 4 * time.Second}
-	north = Place{Cluster: "c", Zone: "north", Cell: 1}
-	south = Place{Cluster: "c", Zone: "south", Cell: 2}
+	t0        = time.Unix(1_800_000_000, 0)
+	zoneTerms = Terms{Scope: lbpolicy.ScopeZone, Window: 8 * time.Second, Retention: 4 * time.Second}
+	north     = Place{Cluster: "c", Zone: "north", Cell: 1}
+	south     = Place{Cluster: "c", Zone: "south", Cell: 2}
 )
 
 func begin(t *testing.T, table *Table, now time.Time, key string) *Request {
@@ -28,224 +28,227 @@
 	return r
 }
 
-func send(t *testing.T, r *Request, now time.Time, to Place) *Attempt {
+func send(t *testing.T, r *Request, now time.Time, place Place) *Attempt {
 	t.Helper()
-	try, err := r.Send(now, to, zone)
+	attempt, err := r.Send(now, place, zoneTerms)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return try
+	return attempt
 }
 
-// One key's life: bound from the send on, also for repeats that come while the first try runs or after its caller has
-// gone; kept in its zone to the end of the window; known for some time after that; then new.
-func TestLife(t *testing.T) {
+// A key is reserved as soon as an attempt is sent, also for repeats that arrive while the first attempt runs or after its client has
+// disconnected. Attempts stay in the zone until the retry window ends. The key is known until its retention ends, and then counts as
+// new.
+func TestKeyIsReservedRetainedAndExpired(t *testing.T) {
 	table := New(4)
 	at := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 	first := begin(t, table, t0, "k")
-	try := send(t, first, t0, north)
-	first.End() // its caller has gone, the attempt runs on
+	attempt := send(t, first, t0, north)
+	first.End() // the client has disconnected, the attempt is still running
 	repeat := begin(t, table, at(1), "k")
 	if !repeat.InProgress {
-		t.Error("not told that an attempt is out")
+		t.Error("InProgress = false while an attempt is in flight")
 	}
-	if _, err := repeat.Send(at(1), south, zone); !errors.Is(err, ErrHeldElsewhere) {
-		t.Errorf("to another zone while the first try runs: %v", err)
+	if _, err := repeat.Send(at(1), south, zoneTerms); !errors.Is(err, ErrHeldElsewhere) {
+		t.Errorf("Send to another zone while the first attempt runs: got %v, want ErrHeldElsewhere", err)
 	}
 	second := send(t, repeat, at(2), north)
-	try.End(at(3), true) // never ran: the window counts from the second
+	attempt.End(at(3), true) // never ran: the window counts from the second attempt
 	second.End(at(3), false)
 	repeat.End()
-	if p := table.KeyState(at(9), KeyIDOf("t", "k"), lbpolicy.ScopeZone); !p.Known || p.Place != north || !p.RetryUntil.Equal(at(9)) {
-		t.Errorf("%+v", p)
+	if state := table.KeyState(at(9), KeyIDOf("t", "k"), lbpolicy.ScopeZone); !state.Known || state.Place != north || !state.RetryUntil.Equal(at(9)) {
+		t.Errorf("key state after the attempts: %+v, want known in north until t0+9s", state)
 	}
 	late := begin(t, table, at(9), "k")
-	if _, err := late.Send(at(9), north, zone); !errors.Is(err, ErrWindowOver) {
-		t.Errorf("at the end of the window: %v", err)
+	if _, err := late.Send(at(9), north, zoneTerms); !errors.Is(err, ErrWindowOver) {
+		t.Errorf("Send at the end of the retry window: got %v, want ErrWindowOver", err)
 	}
 	late.End()
-	if p := table.KeyState(at(13.9), KeyIDOf("t", "k"), lbpolicy.ScopeZone); !p.Known {
-		t.Error("forgotten before its time")
+	if state := table.KeyState(at(13.9), KeyIDOf("t", "k"), lbpolicy.ScopeZone); !state.Known {
+		t.Error("key unknown before the end of its retention")
 	}
 	again := begin(t, table, at(14), "k")
 	send(t, again, at(14), south).End(at(14), true)
 	again.End()
 	if table.Len() != 0 {
-		t.Errorf("%d keys are left where nothing ran", table.Len())
+		t.Errorf("%d keys stored after no attempt of the new request ran, want 0", table.Len())
 	}
 }
 
-// What a reload changes: the scope that a key is asked under, and an endpoint's zone between decision and first byte.
-func TestScopesAndMoves(t *testing.T) {
+// A reload may change the scope with which a key is queried. It may also change the zone of an endpoint between the decision to send an
+// attempt and its first byte, and the attempt must then not start in another group.
+func TestReloadOfScopesAndZonesKeepsKeyState(t *testing.T) {
 	table := New(4)
 	r := begin(t, table, t0, "k")
 	otherCell := Place{Cluster: "c", Zone: "north", Cell: 7}
 	send(t, r, t0, north).End(t0, false)
-	try := send(t, r, t0, otherCell)
-	if try.MayStart(t0, south) {
-		t.Error("starts at an endpoint that has moved out of the group")
+	attempt := send(t, r, t0, otherCell)
+	if attempt.MayStart(t0, south) {
+		t.Error("MayStart = true for an endpoint that has moved out of the group")
 	}
-	if !try.MayStart(t0, otherCell) {
-		t.Error("does not start in its own group")
+	if !attempt.MayStart(t0, otherCell) {
+		t.Error("MayStart = false in the attempt's own group")
 	}
-	if try.MayStart(t0.Add(7*time.Second), otherCell) {
-		t.Error("starts when its window is over")
+	if attempt.MayStart(t0.Add(7*time.Second), otherCell) {
+		t.Error("MayStart = true after the end of the retry window")
 	}
-	try.End(t0, false)
-	if p := r.KeyState(lbpolicy.ScopeZone); p.SeveralGroups || !p.Allows(otherCell, lbpolicy.ScopeZone) {
-		t.Errorf("by zone: %+v", p)
+	attempt.End(t0, false)
+	if state := r.KeyState(lbpolicy.ScopeZone); state.SeveralGroups || !state.Allows(otherCell, lbpolicy.ScopeZone) {
+		t.Errorf("ScopeZone: got %+v, want one group", state)
 	}
-	if p := r.KeyState(lbpolicy.ScopeCell); !p.SeveralGroups || p.Allows(north, lbpolicy.ScopeCell) {
-		t.Errorf("by cell it was in two groups: %+v", p)
+	if state := r.KeyState(lbpolicy.ScopeCell); !state.SeveralGroups || state.Allows(north, lbpolicy.ScopeCell) {
+		t.Errorf("ScopeCell: got %+v, want several groups", state)
 	}
-	if p := r.KeyState(lbpolicy.ScopeAll); !p.Allows(south, lbpolicy.ScopeAll) || p.Allows(Place{Cluster: "d"}, lbpolicy.ScopeAll) {
-		t.Errorf("all endpoints are those of one cluster: %+v", p)
+	if state := r.KeyState(lbpolicy.ScopeAll); !state.Allows(south, lbpolicy.ScopeAll) || state.Allows(Place{Cluster: "d"}, lbpolicy.ScopeAll) {
+		t.Errorf("ScopeAll: got %+v, want all endpoints of the cluster allowed and no others", state)
 	}
 }
 
-func TestPrintsAndBound(t *testing.T) {
+func TestReusedKeysAndKeysOverMaximumAreRejected(t *testing.T) {
 	table := New(2)
-	one, other := FingerprintOf("POST", "/a", []byte("x")), FingerprintOf("POST", "/a", []byte("y"))
-	r, err := table.Begin(t0, KeyIDOf("t", "k"), one)
+	fingerprint, otherFingerprint := FingerprintOf("POST", "/a", []byte("x")), FingerprintOf("POST", "/a", []byte("y"))
+	r, err := table.Begin(t0, KeyIDOf("t", "k"), fingerprint)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := table.Begin(t0, KeyIDOf("t", "k"), other); !errors.Is(err, ErrKeyReused) {
-		t.Errorf("another body: %v", err)
+	if _, err := table.Begin(t0, KeyIDOf("t", "k"), otherFingerprint); !errors.Is(err, ErrKeyReused) {
+		t.Errorf("key with another body: got %v, want ErrKeyReused", err)
 	}
-	if same, err := table.Begin(t0, KeyIDOf("t", "k"), one); err != nil {
-		t.Errorf("the same: %v", err)
+	if sameRequest, err := table.Begin(t0, KeyIDOf("t", "k"), fingerprint); err != nil {
+		t.Errorf("key with the same request: %v", err)
 	} else {
-		same.End()
+		sameRequest.End()
 	}
 	r.End() // nothing was sent: the key is free
-	if r, err = table.Begin(t0, KeyIDOf("t", "k"), other); err != nil {
-		t.Errorf("after a request that never ran: %v", err)
+	if r, err = table.Begin(t0, KeyIDOf("t", "k"), otherFingerprint); err != nil {
+		t.Errorf("key after a request that never ran: %v", err)
 	}
 	send(t, r, t0, north).End(t0, false)
 	r.End()
 	send(t, begin(t, table, t0, "l"), t0, north)
 	for _, now := range []time.Time{t0, t0.Add(11 * time.Second)} {
-		if _, err := table.Begin(now, KeyIDOf("t", "m"), one); !errors.Is(err, ErrTooManyKeys) {
-			t.Errorf("over the bound: %v", err)
+		if _, err := table.Begin(now, KeyIDOf("t", "m"), fingerprint); !errors.Is(err, ErrTooManyKeys) {
+			t.Errorf("third key in a table of two: got %v, want ErrTooManyKeys", err)
 		}
 	}
 	if KeyIDOf("ab", "c") == KeyIDOf("a", "bc") {
-		t.Error("tenants and keys run together")
+		t.Error("KeyIDOf does not separate tenant and key")
 	}
-	begin(t, table, t0.Add(12*time.Second), "m") // one is over, the other's attempt is still out
+	begin(t, table, t0.Add(12*time.Second), "m") // one key has expired, the attempt of the other is still in flight
 	if table.Len() != 2 {
-		t.Errorf("%d keys", table.Len())
+		t.Errorf("%d keys stored, want 2", table.Len())
 	}
 }
 
-// Against a plain model: a list of all that was ever sent. Whatever comes in whatever order, no key has run in two groups
-// within what it is remembered for, and none is sent when its window is over; what never ran binds nothing.
-func TestModel(t *testing.T) {
+// Compares the table with a plain model: a list of all attempts that were sent. For any order of calls, no key runs in two groups before
+// it expires, and no attempt is sent after the end of the retry window. An attempt that never ran reserves nothing.
+func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type tried struct {
+		type sentAttempt struct {
 			*Attempt
-			key       string
-			place     Place
-			sent      time.Time
-			out, none bool
+			key                 string
+			place               Place
+			sentAt              time.Time
+			inFlight, isIgnored bool // ignored: it never ran, or its key has expired
 		}
 		table := New(rapid.IntRange(2, 6).Draw(t, "max"))
 		now := t0
-		var open []*Request
-		var keys []string
-		var tries []*tried
+		var openRequests []*Request
+		var openKeys []string
+		var sentAttempts []*sentAttempt
 		scope := rapid.SampledFrom([]lbpolicy.Scope{lbpolicy.ScopeAll, lbpolicy.ScopeZone, lbpolicy.ScopeCell}).Draw(t, "scope")
 		terms := Terms{Scope: scope, Window: 8 * time.Second, Retention: 4 * time.Second}
-		alive := func(key string) (out []*tried) { // what counts of a key now
-			var last time.Time
-			busy := false
-			for _, o := range tries {
-				if o.key == key && !o.none {
-					out = append(out, o)
-					busy = busy || o.out
-					if end := o.sent.Add(terms.Window + terms.Retention); end.After(last) {
-						last = end
+		relevantAttempts := func(key string) (attempts []*sentAttempt) { // the attempts that the state of a key depends on now
+			var expiresAt time.Time
+			inUse := false
+			for _, sent := range sentAttempts {
+				if sent.key == key && !sent.isIgnored {
+					attempts = append(attempts, sent)
+					inUse = inUse || sent.inFlight
+					if end := sent.sentAt.Add(terms.Window + terms.Retention); end.After(expiresAt) {
+						expiresAt = end
 					}
 				}
 			}
-			for i := range open {
-				busy = busy || keys[i] == key
+			for i := range openRequests {
+				inUse = inUse || openKeys[i] == key
 			}
-			if !busy && !now.Before(last) {
-				for _, o := range out {
-					o.none = true // forgotten
+			if !inUse && !now.Before(expiresAt) {
+				for _, sent := range attempts {
+					sent.isIgnored = true
 				}
 				return nil
 			}
-			return out
+			return attempts
 		}
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			for _, k := range []string{"a", "b", "c", "d"} {
-				alive(k)
+				relevantAttempts(k)
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "key")
-				known := len(alive(key)) > 0 || slices.Contains(keys, key)
+				known := len(relevantAttempts(key)) > 0 || slices.Contains(openKeys, key)
 				r, err := table.Begin(now, KeyIDOf("t", key), Fingerprint{})
 				if err != nil {
 					if known {
-						t.Fatalf("a known key was turned away: %v", err)
+						t.Fatalf("known key rejected: %v", err)
 					}
 					continue
 				}
-				if p := r.KeyState(scope); p.Known != (len(alive(key)) > 0) {
-					t.Fatalf("%s: %+v, and %d tries count", key, p, len(alive(key)))
+				if state := r.KeyState(scope); state.Known != (len(relevantAttempts(key)) > 0) {
+					t.Fatalf("key %s: state is %+v, the model has %d attempts", key, state, len(relevantAttempts(key)))
 				}
-				open, keys = append(open, r), append(keys, key)
+				openRequests, openKeys = append(openRequests, r), append(openKeys, key)
 			case 1, 2:
-				if len(open) == 0 {
+				if len(openRequests) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(open)-1).Draw(t, "request")
-				to := Place{Cluster: rapid.SampledFrom([]string{"c", "d"}).Draw(t, "cluster"),
+				i := rapid.IntRange(0, len(openRequests)-1).Draw(t, "request")
+				place := Place{Cluster: rapid.SampledFrom([]string{"c", "d"}).Draw(t, "cluster"),
 					Zone: rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell")}
-				may := true
-				for _, o := range alive(keys[i]) {
-					may = may && sameGroup(o.place, to, scope) && now.Before(o.sent.Add(7*time.Second))
+				allowed := true
+				for _, sent := range relevantAttempts(openKeys[i]) {
+					allowed = allowed && sameGroup(sent.place, place, scope) && now.Before(sent.sentAt.Add(7*time.Second))
 				}
-				try, err := open[i].Send(now, to, terms)
-				if (err == nil) != may {
-					t.Fatalf("%s to %v: %v, where the model says %t", keys[i], to, err, may)
+				attempt, err := openRequests[i].Send(now, place, terms)
+				if (err == nil) != allowed {
+					t.Fatalf("Send of key %s to %v: error %v, the model allows it: %t", openKeys[i], place, err, allowed)
 				}
 				if err == nil {
-					tries = append(tries, &tried{try, keys[i], to, now, true, false})
+					sentAttempts = append(sentAttempts, &sentAttempt{attempt, openKeys[i], place, now, true, false})
 				}
 			case 3:
-				var out []*tried
-				for _, o := range tries {
-					if o.out {
-						out = append(out, o)
+				var attempts []*sentAttempt
+				for _, sent := range sentAttempts {
+					if sent.inFlight {
+						attempts = append(attempts, sent)
 					}
 				}
-				if len(out) == 0 {
+				if len(attempts) == 0 {
 					continue
 				}
-				o := out[rapid.IntRange(0, len(out)-1).Draw(t, "try")]
-				o.out = false
-				o.none = rapid.Bool().Draw(t, "never")
-				o.End(now, o.none)
+				sent := attempts[rapid.IntRange(0, len(attempts)-1).Draw(t, "try")]
+				sent.inFlight = false
+				sent.isIgnored = rapid.Bool().Draw(t, "never")
+				sent.End(now, sent.isIgnored)
 			case 4:
-				if len(open) > 0 {
-					i := rapid.IntRange(0, len(open)-1).Draw(t, "end")
-					open[i].End()
-					open, keys = slices.Delete(open, i, i+1), slices.Delete(keys, i, i+1)
+				if len(openRequests) > 0 {
+					i := rapid.IntRange(0, len(openRequests)-1).Draw(t, "end")
+					openRequests[i].End()
+					openRequests, openKeys = slices.Delete(openRequests, i, i+1), slices.Delete(openKeys, i, i+1)
 				}
 			}
 			if n := table.Len(); n > 6 {
-				t.Fatalf("%d keys", n)
+				t.Fatalf("%d keys stored, want at most 6", n)
 			}
 		}
 	})
 }
 
+// BenchmarkKeyed measures one request with a new key and one attempt, 300 µs after the previous one.
 func BenchmarkKeyed(b *testing.B) {
 	table := New(1 << 16)
 	now := t0
@@ -256,9 +259,9 @@
 			b.Fatal(err)
 		}
 		r.KeyState(lbpolicy.ScopeZone)
-		try, _ := r.Send(now, north, zone)
-		try.MayStart(now, north)
-		try.End(now, false)
+		attempt, _ := r.Send(now, north, zoneTerms)
+		attempt.MayStart(now, north)
+		attempt.End(now, false)
 		r.End()
 	}
 	b.ReportMetric(float64(table.Len()), "keys")
