--- a/internal/balancer/engine/endpoints.go
+++ b/internal/balancer/engine/endpoints.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// updateEndpoint applies one entry of a list. It returns an error for an invalid entry, apart from those whose status alone is
-// usable.
+// updateEndpoint applies one entry of a list. It returns an error for an invalid entry. An invalid address or zone does not matter if
+// the entry removes an endpoint, or if a known endpoint starts to drain.
 func (e *Engine) updateEndpoint(entry endpointlist.Endpoint) (lbpolicy.Server, error) {
 	state, known := statesByStatus[entry.Status]
 	if !known || entry.Name == "" {
--- a/internal/balancer/engine/snapshot.go
+++ b/internal/balancer/engine/snapshot.go
@@ -12,7 +12,7 @@
 	Servers []ServerSnapshot  `json:"Servers"` // the servers of Policy, by name, because IDs and clocks differ between processes
 }
 
-// ServerSnapshot is what the policy has measured of an endpoint, and the endpoint's start time as a Unix time in milliseconds.
+// ServerSnapshot holds the policy's measurements of an endpoint, and the endpoint's start time as a Unix time in milliseconds.
 type ServerSnapshot struct {
 	Name    string                  `json:"Name"`
 	SinceMS int64                   `json:"SinceMS"`
--- a/internal/balancer/failover/failover_test.go
+++ b/internal/balancer/failover/failover_test.go
@@ -17,7 +17,8 @@
 	return idempotency.KeyState{Known: true, Place: idempotency.Place{Cluster: cluster}, RetryUntil: t0.Add(time.Second)}
 }
 
-// The next cluster, for each effect and each result of the first cluster.
+// Next must follow the effect of the request, the result of the first cluster and the state of the key. MayReject must follow the state
+// and the scope of the key.
 func TestNextFollowsEffectAndResult(t *testing.T) {
 	unknownKey := idempotency.KeyState{}
 	for _, c := range []struct {
--- a/internal/balancer/idempotency/table_test.go
+++ b/internal/balancer/idempotency/table_test.go
@@ -51,7 +51,7 @@
 		t.Error("InProgress = false while an attempt is in flight")
 	}
 	if _, err := repeat.Send(at(1), south, zoneTerms); !errors.Is(err, ErrHeldElsewhere) {
-		t.Errorf("Send to another zone while the first attempt runs: got %v, want ErrHeldElsewhere", err)
+		t.Errorf("reserving the key in another zone while the first attempt runs: got %v, want ErrHeldElsewhere", err)
 	}
 	second := send(t, repeat, at(2), north)
 	attempt.End(at(3), true) // never ran: the window counts from the second attempt
@@ -62,7 +62,7 @@
 	}
 	late := begin(t, table, at(9), "k")
 	if _, err := late.Send(at(9), north, zoneTerms); !errors.Is(err, ErrWindowOver) {
-		t.Errorf("Send at the end of the retry window: got %v, want ErrWindowOver", err)
+		t.Errorf("reserving the key at the end of the retry window: got %v, want ErrWindowOver", err)
 	}
 	late.End()
 	if state := table.KeyState(at(13.9), KeyIDOf("t", "k"), lbpolicy.ScopeZone); !state.Known {
@@ -215,7 +215,7 @@
 				}
 				attempt, err := openRequests[i].Send(now, place, terms)
 				if (err == nil) != allowed {
-					t.Fatalf("Send of key %s to %v: error %v, the model allows it: %t", openKeys[i], place, err, allowed)
+					t.Fatalf("reserving key %s for %v: error %v, the model allows it: %t", openKeys[i], place, err, allowed)
 				}
 				if err == nil {
 					sentAttempts = append(sentAttempts, &sentAttempt{attempt, openKeys[i], place, now, true, false})
