--- a/internal/balancer/engine/snapshot.go
+++ b/internal/balancer/engine/snapshot.go
@@ -6,23 +6,23 @@
 	"silvertrail/lbpolicy"
 )
 
-// Snapshot is what an engine hands to that of the process that takes over. The JSON names are part of the hand-over protocol.
+// Snapshot is the state that an engine passes to the engine of a successor process. The JSON names are part of the hand-over protocol.
 type Snapshot struct {
 	Policy  lbpolicy.Snapshot `json:"Learnt"`
-	Servers []ServerSnapshot  `json:"Servers"` // of Policy, by name, since IDs and clocks differ between processes
+	Servers []ServerSnapshot  `json:"Servers"` // the servers of Policy, by name, because IDs and clocks differ between processes
 }
 
-// ServerSnapshot is what is known of an endpoint.
+// ServerSnapshot holds the policy's measurements of an endpoint, and the endpoint's start time as a Unix time in milliseconds.
 type ServerSnapshot struct {
 	Name    string                  `json:"Name"`
 	SinceMS int64                   `json:"SinceMS"`
 	Policy  lbpolicy.ServerSnapshot `json:"Learnt"`
 }
 
-// Snapshot returns what the policy has measured.
+// Snapshot returns the measurements of the policy.
 func (e *Engine) Snapshot() Snapshot {
 	var snapshot Snapshot
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		snapshot.Policy = e.balancer.Snapshot(now)
 		for _, s := range snapshot.Policy.Servers {
 			if server := e.endpoints[s.ID]; server != nil {
@@ -36,7 +36,7 @@
 
 // Restore applies the snapshot of another process.
 func (e *Engine) Restore(snapshot Snapshot) {
-	e.event(func(now time.Duration) {
+	e.processEvent(func(now time.Duration) {
 		policy := snapshot.Policy
 		policy.Servers = nil
 		for _, s := range snapshot.Servers {
