--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -15,7 +15,7 @@
 	viewNumber      uint64        // its view, as of its last heartbeat
 	isolatedSince   time.Duration // since when it reports that it is isolated; zero: it does not
 	unreachable     []uint16      // members that it does not reach, by index in the view
-	rowAt           time.Duration // when unreachable was updated
+	rowUpdatedAt           time.Duration // when unreachable was updated
 	rowSeq          uint64        // the heartbeat that unreachable comes from
 	suspectedSince  time.Duration // by this process; zero: it is not suspected
 	leaving         bool
@@ -90,8 +90,8 @@
 	}
 }
 
-// noteMessage records that a member has sent a message.
-func (c *Core) noteMessage(m *Message) {
+// recordMessage records that a member has sent a message.
+func (c *Core) recordMessage(m *Message) {
 	i := c.view.Index(m.From.Name)
 	if i < 0 || c.isSelf(i) || c.view.Members[i].Incarnation != m.From.Incarnation {
 		return
@@ -109,7 +109,7 @@
 	link.viewNumber = m.ViewNumber
 	link.leaving = m.Leaving
 	if m.Seq > link.rowSeq {
-		link.unreachable, link.rowAt, link.rowSeq = m.Unreachable, c.now, m.Seq
+		link.unreachable, link.rowUpdatedAt, link.rowSeq = m.Unreachable, c.now, m.Seq
 	}
 	if len(m.Rows) == len(c.links) {
 		c.mergeRows(m.Rows)
@@ -146,7 +146,7 @@
 		if link == nil || row.Seq <= link.rowSeq {
 			continue
 		}
-		link.rowSeq, link.rowAt, link.unreachable = row.Seq, c.now, nil
+		link.rowSeq, link.rowUpdatedAt, link.unreachable = row.Seq, c.now, nil
 		for j := range c.links {
 			if row.Unreachable&(1<<j) != 0 {
 				link.unreachable = append(link.unreachable, uint16(j))
--- a/internal/fleet/membership/install.go
+++ b/internal/fleet/membership/install.go
@@ -9,11 +9,11 @@
 	c.latestView = viewID{view.Lineage, view.Number}
 	c.wasMember = true
 	c.installLinks(previous, view)
-	c.noteDepartures(previous, view)
+	c.recordDepartures(previous, view)
 	c.collectors = view.ringOrder(ringCount)
 	c.resetPendingChange()
 	c.majorityGrantedAt, c.collectorAnsweredAt = c.now, c.now
-	c.collectorTurn, c.noMajoritySince = 0, 0
+	c.currentCollector, c.noMajoritySince = 0, 0
 	c.majorityReached = previous == nil || c.majorityReached // a majority has admitted a process that had no view
 	c.changes = append(c.changes, Change{View: view})
 }
@@ -57,8 +57,8 @@
 	return link
 }
 
-// noteDepartures records the members that the view does not hold any more.
-func (c *Core) noteDepartures(previous, view *View) {
+// recordDepartures records the members that the view does not hold any more.
+func (c *Core) recordDepartures(previous, view *View) {
 	if previous != nil {
 		for _, m := range previous.Members {
 			if !view.Contains(m) && view.Index(m.Name) < 0 {
@@ -90,7 +90,7 @@
 // leaveView returns to the state of a process in no view: it was removed, or moves to a larger fleet.
 func (c *Core) leaveView(reason string) {
 	c.changes = append(c.changes, Change{Removed: true, Reason: reason})
-	c.rememberSeeds(c.view.Members)
+	c.addSeeds(c.view.Members)
 	c.view, c.previousView = nil, nil
 	c.links, c.subjects, c.observers, c.collectors = nil, nil, nil, nil
 	c.startedAt = c.now
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -41,8 +41,8 @@
 	return mayFound && (c.now-c.startedAt >= delay || len(c.options.Seeds) == 0)
 }
 
-// rememberSeeds adds the addresses of some members to the seeds.
-func (c *Core) rememberSeeds(members []Member) {
+// addSeeds adds the addresses of some members to the seeds.
+func (c *Core) addSeeds(members []Member) {
 	for _, i := range c.options.Rand.Perm(len(members)) {
 		address := members[i].Address
 		if len(c.options.Seeds) < maxSeeds && !slices.Contains(c.options.Seeds, address) {
@@ -149,20 +149,20 @@
 func (c *Core) handleOtherFleet(m *Message) {
 	switch m.Kind {
 	case ViewResponse:
-		if c.yieldsTo(m.View, m.Affirmed) {
+		if c.shouldJoinFleet(m.View, m.Affirmed) {
 			c.endedLineage = c.view.Lineage
 			c.leaveView(reasonOtherFleet)
-			c.rememberSeeds(m.View.Members)
+			c.addSeeds(m.View.Members)
 		}
 	case Heartbeat, ViewRequest, Report:
 		c.sendView(m.From)
 	}
 }
 
-// yieldsTo reports whether the members of this fleet join the other one: the smaller fleet does, or the one with the lower
+// shouldJoinFleet reports whether the members of this fleet join the other one: the smaller fleet does, or the one with the lower
 // lineage if both have one size. So does a process that is isolated, if the other fleet has its majority: most of its own
 // fleet may have been restarted.
-func (c *Core) yieldsTo(other *View, otherHasQuorum bool) bool {
+func (c *Core) shouldJoinFleet(other *View, otherHasQuorum bool) bool {
 	if other.Lineage == c.view.Lineage {
 		return false
 	}
--- a/internal/fleet/membership/quorum.go
+++ b/internal/fleet/membership/quorum.go
@@ -48,15 +48,15 @@
 	}
 	count := 1
 	for _, link := range c.links {
-		if link != nil && c.isReachable(link) && link.viewNumber == c.view.Number && !c.isUnreachableFor(link) {
+		if link != nil && c.isReachable(link) && link.viewNumber == c.view.Number && !c.reportsSelfUnreachable(link) {
 			count++
 		}
 	}
 	return count
 }
 
-// isUnreachableFor reports whether a member says that it does not reach this process.
-func (c *Core) isUnreachableFor(link *peerLink) bool {
+// reportsSelfUnreachable reports whether a member says that it does not reach this process.
+func (c *Core) reportsSelfUnreachable(link *peerLink) bool {
 	self := c.view.Index(c.options.Self.Name)
 	return slices.ContainsFunc(link.unreachable, func(i uint16) bool { return int(i) == self })
 }
@@ -71,19 +71,19 @@
 		return
 	}
 	if c.now-c.collectorAnsweredAt > c.reachableWindow() {
-		c.collectorTurn = (c.collectorTurn + 1) % len(c.collectors)
+		c.currentCollector = (c.currentCollector + 1) % len(c.collectors)
 		c.collectorAnsweredAt = c.now
 	}
-	c.requestGrant(c.collectorTurn)
-	if c.collectorTurn > 0 {
-		c.requestGrant(c.options.Rand.IntN(c.collectorTurn))
+	c.requestGrant(c.currentCollector)
+	if c.currentCollector > 0 {
+		c.requestGrant(c.options.Rand.IntN(c.currentCollector))
 	}
 	more := 1 // always a second one: the path to a single one may be cut
 	if late {
 		more = initialCollectors - 1
 	}
 	for i := 1; i <= more; i++ {
-		c.requestGrant((c.collectorTurn + i) % len(c.collectors))
+		c.requestGrant((c.currentCollector + i) % len(c.collectors))
 	}
 }
 
@@ -101,8 +101,8 @@
 // handleGrant handles a collector's answer.
 func (c *Core) handleGrant(m *Message) {
 	turn := slices.IndexFunc(c.collectors, func(i int) bool { return c.view.Members[i] == m.From })
-	if turn >= 0 && (turn <= c.collectorTurn || m.Affirmed) {
-		c.collectorTurn, c.collectorAnsweredAt = turn, c.now
+	if turn >= 0 && (turn <= c.currentCollector || m.Affirmed) {
+		c.currentCollector, c.collectorAnsweredAt = turn, c.now
 	}
 	if m.Affirmed {
 		c.majorityGrantedAt = max(c.majorityGrantedAt, c.now-grantAge(m))
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -9,7 +9,7 @@
 const (
 	DiagnosisReceivesNothing DiagnosisKind = "deaf"    // a member reaches hardly anybody, but is reached
 	DiagnosisSendsNothing    DiagnosisKind = "mute"    // a member is not reached, but reaches others
-	DiagnosisGone            DiagnosisKind = "gone"    // a member is not reached, and reports nothing, or reaches nobody
+	DiagnosisUnreachable            DiagnosisKind = "gone"    // a member is not reached, and reports nothing, or reaches nobody
 	DiagnosisPair            DiagnosisKind = "pair"    // two members do not reach each other
 	DiagnosisOneWay          DiagnosisKind = "one way" // the first member does not reach the second
 	DiagnosisPartition       DiagnosisKind = "part"    // several members are cut off together
@@ -94,7 +94,7 @@
 		}
 	}
 	if len(faulty) > 1 { // several members that none of the others reaches are one partition
-		diagnoses = slices.DeleteFunc(diagnoses, func(d Diagnosis) bool { return d.Kind == DiagnosisGone })
+		diagnoses = slices.DeleteFunc(diagnoses, func(d Diagnosis) bool { return d.Kind == DiagnosisUnreachable })
 		if len(diagnoses) == 0 {
 			diagnoses = append(diagnoses, Diagnosis{DiagnosisPartition, faulty})
 		}
@@ -123,7 +123,7 @@
 	sendsNothing := reporters > 0 && 2*isNotReceived > reporters
 	switch {
 	case sendsNothing && (!m.reported[i] || receivesNothing):
-		return DiagnosisGone, true
+		return DiagnosisUnreachable, true
 	case sendsNothing:
 		return DiagnosisSendsNothing, true
 	case receivesNothing:
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -16,7 +16,7 @@
 		c.handleOtherFleet(m)
 		return
 	}
-	c.noteMessage(m)
+	c.recordMessage(m)
 	switch {
 	case m.Kind == ViewResponse:
 		c.handleView(m.View)
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -145,5 +145,5 @@
 
 // hasCurrentRow reports whether what a member does not reach is known and current.
 func (c *Core) hasCurrentRow(link *peerLink) bool {
-	return c.now-link.rowAt < 2*c.reachableWindow()
+	return c.now-link.rowUpdatedAt < 2*c.reachableWindow()
 }
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -12,7 +12,7 @@
 
 // suspicionReport is what an observer has reported to a collector last.
 type suspicionReport struct {
-	at       time.Duration
+	receivedAt       time.Duration
 	suspects map[Member]bool
 }
 
@@ -102,7 +102,7 @@
 // handleReport records an observer's report. Suspicions count only of members that it observes.
 func (c *Core) handleReport(m *Message) {
 	observer := c.view.Index(m.From.Name)
-	report := &suspicionReport{at: c.now, suspects: map[Member]bool{}}
+	report := &suspicionReport{receivedAt: c.now, suspects: map[Member]bool{}}
 	for _, suspect := range m.Suspects {
 		if i := c.indexOf(suspect); i >= 0 && slices.Contains(c.observers[i], observer) {
 			report.suspects[suspect] = true
@@ -129,7 +129,7 @@
 func (c *Core) currentSuspicions() suspicions {
 	found := suspicions{}
 	for name, report := range c.reports {
-		if c.now-report.at > c.heartbeats(reportTTL) {
+		if c.now-report.receivedAt > c.heartbeats(reportTTL) {
 			delete(c.reports, name)
 			continue
 		}
@@ -140,7 +140,7 @@
 	}
 	c.discardFromSuspects(found)
 	if len(c.view.Members) > fullMeshMembers {
-		c.addSilentObservers(found)
+		c.addSuspectedObservers(found)
 	}
 	return found
 }
@@ -159,9 +159,9 @@
 	}
 }
 
-// addSilentObservers counts an observer that is itself suspected as suspecting those whom another one suspects: it cannot
+// addSuspectedObservers counts an observer that is itself suspected as suspecting those whom another one suspects: it cannot
 // report any more.
-func (c *Core) addSilentObservers(found suspicions) {
+func (c *Core) addSuspectedObservers(found suspicions) {
 	lost := map[int]bool{}
 	for suspect, by := range found {
 		if low, _ := watermarks(len(c.observers[suspect])); len(by) >= low {
--- a/internal/fleet/membership/timing.go
+++ b/internal/fleet/membership/timing.go
@@ -46,9 +46,9 @@
 	return c.heartbeats(reachableFor) + c.largeFleetAllowance()
 }
 
-// absorbDelay discounts the time for which this process was paused or had no CPU: what it did not receive meanwhile says
+// compensateDelay discounts the time for which this process was paused or had no CPU: what it did not receive meanwhile says
 // nothing about other members.
-func (c *Core) absorbDelay() {
+func (c *Core) compensateDelay() {
 	delay := c.now - c.lastTick - c.TickInterval()
 	if delay < c.TickInterval()*2 {
 		return
