--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -15,7 +15,7 @@
 	viewNumber      uint64        // its view, as of its last heartbeat
 	isolatedSince   time.Duration // since when it reports that it is isolated; zero: it does not
 	unreachable     []uint16      // members that it does not reach, by index in the view
-	rowUpdatedAt           time.Duration // when unreachable was updated
+	rowUpdatedAt    time.Duration // when unreachable was updated
 	rowSeq          uint64        // the heartbeat that unreachable comes from
 	suspectedSince  time.Duration // by this process; zero: it is not suspected
 	leaving         bool
--- a/internal/fleet/membership/leave_test.go
+++ b/internal/fleet/membership/leave_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// The only member of a fleet leaves. The change that removes it is decided in a tick, as nobody else has to agree; it has no view
-// then, and the rest of the tick read it: a panic of the process ("invalid memory address", in Tick) where the tick had no heartbeat
-// due (docs/incidents/only-member-leaves.md). The test leaves at each phase of the heartbeat.
+// Guards against a nil pointer panic in Tick ("invalid memory address"; docs/incidents/only-member-leaves.md). When the only
+// member of a fleet leaves, its removal is decided within one tick, as no other member has to agree. The member then has no view,
+// but the rest of the tick read the view if no heartbeat was due. The test leaves at each tick of a heartbeat interval.
 func TestOnlyMemberLeavesWithoutPanic(t *testing.T) {
-	for phase := range ticksPerHeartbeat {
+	for tick := range ticksPerHeartbeat {
 		self := Member{Name: "a", Address: "127.0.0.1:1", Incarnation: 1}
-		c := New(Options{Self: self, Rand: rand.New(rand.NewPCG(1, 0))})
+		core := New(Options{Self: self, Rand: rand.New(rand.NewPCG(1, 0))})
 		now := time.Second
-		c.Tick(now)
-		c.installView(&View{Lineage: 1, Number: 1, Members: []Member{self}})
-		for range phase {
-			now += c.TickInterval()
-			c.Tick(now)
+		core.Tick(now)
+		core.installView(&View{Lineage: 1, Number: 1, Members: []Member{self}})
+		for range tick {
+			now += core.TickInterval()
+			core.Tick(now)
 		}
-		c.Leave(now)
+		core.Leave(now)
 		for range 20 * ticksPerHeartbeat {
-			now += c.TickInterval()
-			c.Tick(now)
-			c.Ready()
+			now += core.TickInterval()
+			core.Tick(now)
+			core.Ready()
 		}
-		if c.View() != nil {
-			t.Errorf("phase %d: still in a view", phase)
+		if core.View() != nil {
+			t.Errorf("tick %d of the heartbeat interval: still in a view after leaving", tick)
 		}
 	}
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -77,7 +77,7 @@
 
 	// Majority grants, which replace direct heartbeats from a majority in a large fleet.
 	majorityGrantedAt   time.Duration            // when a majority was alive, according to a collector
-	currentCollector       int                      // the index of the collector that is asked first
+	currentCollector    int                      // the index of the collector that is asked first
 	collectorAnsweredAt time.Duration            // when it answered last, or was first asked
 	renewals            map[string]time.Duration // at a collector: when each member asked last
 	majorityCountedAt   time.Duration
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -5,267 +5,274 @@
 	"time"
 )
 
-const seedCount = 20 // of each trouble
+// seedCount is how many seeds each test runs with.
+const seedCount = 20
 
+// A killed member is removed from the view within 5 s, and no other member is.
 func TestKilledMemberIsRemoved(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newFiveMemberFleet(t, seed)
-		w.setHealthy(0, 1, 2, 3)
-		w.nodes[4].killed = true
-		if took := w.awaitView(4, 10*time.Second); took > 5*time.Second {
-			t.Errorf("seed %d: out after %v", seed, took)
+		sim := newFiveMemberFleet(t, seed)
+		sim.setHealthy(0, 1, 2, 3)
+		sim.nodes[4].killed = true
+		if took := sim.awaitView(4, 10*time.Second); took > 5*time.Second {
+			t.Errorf("seed %d: killed member removed after %v, want 5s at most", seed, took)
 		}
-		w.assertNoFalseRemoval("one killed")
+		sim.assertNoFalseRemoval("one member killed")
 	}
 }
 
-// A pause up to a second is borne; one that is longer ends in a view without the paused member, which finds out that it
-// is out before it says anything of others, and comes back.
+// A member that pauses for up to 1 s is not removed. During a longer pause the others may install a view without it. When it
+// resumes, it must notice this before it suspects others, and rejoin within 8 s.
 func TestPausedMemberRejoins(t *testing.T) {
 	t.Parallel()
 	for _, pause := range []time.Duration{time.Second, 3 * time.Second, 12 * time.Second, time.Minute} {
 		for seed := range uint64(seedCount) {
-			w := newFiveMemberFleet(t, seed)
-			w.setHealthy(0, 1, 2, 3)
+			sim := newFiveMemberFleet(t, seed)
+			sim.setHealthy(0, 1, 2, 3)
 			if pause == time.Second {
-				w.setHealthy(0, 1, 2, 3, 4)
+				sim.setHealthy(0, 1, 2, 3, 4)
 			}
-			w.nodes[4].setPaused(true)
-			w.runFor(pause)
-			w.nodes[4].setPaused(false)
-			w.runFor(500 * time.Millisecond)
-			if took := w.awaitView(5, 15*time.Second); took > 8*time.Second {
-				t.Errorf("seed %d, pause %v: back after %v", seed, pause, took)
+			sim.nodes[4].setPaused(true)
+			sim.runFor(pause)
+			sim.nodes[4].setPaused(false)
+			sim.runFor(500 * time.Millisecond)
+			if took := sim.awaitView(5, 15*time.Second); took > 8*time.Second {
+				t.Errorf("seed %d, pause %v: rejoined after %v, want 8s at most", seed, pause, took)
 			}
-			w.runFor(5 * time.Second)
-			w.assertNoFalseRemoval("one paused")
+			sim.runFor(5 * time.Second)
+			sim.assertNoFalseRemoval("one member paused")
 		}
 	}
 }
 
+// A network that loses up to 60% of the messages and duplicates 10% of them does not lead to the removal of a member.
 func TestMessageLossRemovesNoMember(t *testing.T) {
 	t.Parallel()
 	for _, loss := range []float64{0.1, 0.3, 0.6} {
 		for seed := range uint64(seedCount) {
-			w := newFiveMemberFleet(t, seed)
-			w.setHealthy(0, 1, 2, 3, 4)
-			w.lossRatio, w.duplicationRatio = loss, 0.1
-			w.runFor(2 * time.Minute)
-			w.assertNoFalseRemoval("loss")
+			sim := newFiveMemberFleet(t, seed)
+			sim.setHealthy(0, 1, 2, 3, 4)
+			sim.lossRatio, sim.duplicationRatio = loss, 0.1
+			sim.runFor(2 * time.Minute)
+			sim.assertNoFalseRemoval("message loss")
 		}
 	}
 }
 
-// Nothing that one member sends arrives, or nothing arrives at it: it is out in time, knows soon that it is isolated, and
-// takes nobody out, then and when the cut heals.
+// One member's messages do not reach the others, or theirs do not reach it. The member is removed within 5 s and knows within
+// 3.5 s that it is isolated. No other member is removed, neither during the partition nor after it heals.
 func TestOneWayPartitionRemovesOnlyAffectedMember(t *testing.T) {
 	t.Parallel()
-	for _, mute := range []bool{true, false} {
+	for _, sendsNothing := range []bool{true, false} {
 		for seed := range uint64(seedCount) {
-			w := newFiveMemberFleet(t, seed)
-			w.setHealthy(0, 1, 2, 3)
-			cut := func(on bool) {
-				if mute {
-					w.setPartition([]int{4}, indicesUpTo(4), false, on)
+			sim := newFiveMemberFleet(t, seed)
+			sim.setHealthy(0, 1, 2, 3)
+			setBlocked := func(blocked bool) {
+				if sendsNothing {
+					sim.setPartition([]int{4}, indicesUpTo(4), false, blocked)
 				} else {
-					w.setPartition(indicesUpTo(4), []int{4}, false, on)
+					sim.setPartition(indicesUpTo(4), []int{4}, false, blocked)
 				}
 			}
-			cut(true)
-			begun := w.now
-			knew, out := time.Duration(0), time.Duration(0)
-			for w.now-begun < 25*time.Second {
-				w.runFor(50 * time.Millisecond)
-				if x := w.nodes[4]; knew == 0 && (x.isolatedSince > 0 || x.core.View() == nil) {
-					knew = w.now - begun
+			setBlocked(true)
+			start := sim.now
+			isolatedAfter, removedAfter := time.Duration(0), time.Duration(0)
+			for sim.now-start < 25*time.Second {
+				sim.runFor(50 * time.Millisecond)
+				if n := sim.nodes[4]; isolatedAfter == 0 && (n.isolatedSince > 0 || n.core.View() == nil) {
+					isolatedAfter = sim.now - start
 				}
-				if v := w.nodes[0].core.View(); out == 0 && len(v.Members) == 4 {
-					out = w.now - begun
+				if v := sim.nodes[0].core.View(); removedAfter == 0 && len(v.Members) == 4 {
+					removedAfter = sim.now - start
 				}
 			}
-			if knew == 0 || knew > 3500*time.Millisecond || out == 0 || out > 5*time.Second {
-				t.Errorf("seed %d, mute %v: it knew after %v, out after %v", seed, mute, knew, out)
+			if isolatedAfter == 0 || isolatedAfter > 3500*time.Millisecond || removedAfter == 0 || removedAfter > 5*time.Second {
+				t.Errorf("seed %d, sends nothing %v: isolated after %v, want 3.5s at most; removed after %v, want 5s at most", seed, sendsNothing, isolatedAfter, removedAfter)
 			}
-			cut(false)
-			w.awaitView(5, 15*time.Second)
-			w.runFor(10 * time.Second)
-			w.assertNoFalseRemoval("mute or deaf")
+			setBlocked(false)
+			sim.awaitView(5, 15*time.Second)
+			sim.runFor(10 * time.Second)
+			sim.assertNoFalseRemoval("one-way partition")
 		}
 	}
 }
 
-// One pair does not hear each other: nobody is out, and all that hear of it can name it.
+// Two members do not receive each other's messages, or one of them does not receive the other's. No member is removed, and
+// every member diagnoses this pair alone.
 func TestPairPartitionRemovesNoMember(t *testing.T) {
 	t.Parallel()
 	for _, both := range []bool{true, false} {
 		for seed := range uint64(seedCount) {
-			w := newFiveMemberFleet(t, seed)
-			w.setHealthy(0, 1, 2, 3, 4)
-			w.setPartition([]int{1}, []int{2}, both, true)
-			w.runFor(30 * time.Second)
-			w.assertNoFalseRemoval("pair")
-			for _, n := range w.nodes {
-				_, found := n.core.Reachability()
-				if len(found) != 1 || both && (found[0].Kind != "pair" || found[0].Members[0] != "m0001") || !both && (found[0].Kind != "one way" || found[0].Members[0] != "m0002") {
-					t.Errorf("seed %d: %s says %v", seed, n.core.options.Self.Name, found)
+			sim := newFiveMemberFleet(t, seed)
+			sim.setHealthy(0, 1, 2, 3, 4)
+			sim.setPartition([]int{1}, []int{2}, both, true)
+			sim.runFor(30 * time.Second)
+			sim.assertNoFalseRemoval("partition of a pair")
+			for _, n := range sim.nodes {
+				_, diagnoses := n.core.Reachability()
+				if len(diagnoses) != 1 || both && (diagnoses[0].Kind != "pair" || diagnoses[0].Members[0] != "m0001") || !both && (diagnoses[0].Kind != "one way" || diagnoses[0].Members[0] != "m0002") {
+					t.Errorf("seed %d: %s has the diagnoses %v, want the pair alone", seed, n.core.options.Self.Name, diagnoses)
 				}
 			}
-			w.setPartition([]int{1}, []int{2}, both, false)
-			w.runFor(10 * time.Second)
-			w.assertNoFalseRemoval("pair, healed")
+			sim.setPartition([]int{1}, []int{2}, both, false)
+			sim.runFor(10 * time.Second)
+			sim.assertNoFalseRemoval("partition of a pair, healed")
 		}
 	}
 }
 
-// Each hears only the next: nobody has a majority, all know it, nobody is out.
+// Each member's messages reach only the next member of a ring. No member has a majority, so all know that they are isolated, and
+// no member is removed.
 func TestRingWithoutMajorityIsolatesAllMembers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newFiveMemberFleet(t, seed)
-		w.setHealthy(0, 1, 2, 3, 4)
+		sim := newFiveMemberFleet(t, seed)
+		sim.setHealthy(0, 1, 2, 3, 4)
 		for a := range 5 {
 			for b := range 5 {
-				w.blocked[[2]int{a, b}] = (a+1)%5 != b
+				sim.blocked[[2]int{a, b}] = (a+1)%5 != b
 			}
 		}
-		w.runFor(25 * time.Second)
-		for _, n := range w.nodes {
+		sim.runFor(25 * time.Second)
+		for _, n := range sim.nodes {
 			if n.isolatedSince == 0 {
 				t.Errorf("seed %d: %s does not know that it is isolated", seed, n.core.options.Self.Name)
 			}
 		}
-		clear(w.blocked)
-		w.awaitView(5, 10*time.Second)
-		w.runFor(5 * time.Second)
-		w.assertNoFalseRemoval("ring")
+		clear(sim.blocked)
+		sim.awaitView(5, 10*time.Second)
+		sim.runFor(5 * time.Second)
+		sim.assertNoFalseRemoval("ring of one-way connections")
 	}
 }
 
-// In two parts: the smaller one makes no view and knows it; the larger one goes on without; healed, all are one again.
+// Of two sides of a partition, the smaller one knows within 3.5 s that it is isolated and installs no view. The larger one installs
+// a view without the smaller one. After the partition heals, all members are in one view again.
 func TestPartitionKeepsMajorityAndIsolatesMinority(t *testing.T) {
 	t.Parallel()
 	for _, small := range [][]int{{3, 4}, {0, 1}, {0, 4}} {
 		for seed := range uint64(seedCount) {
-			w := newFiveMemberFleet(t, seed)
+			sim := newFiveMemberFleet(t, seed)
 			large := excludeIndices(indicesUpTo(5), small...)
-			w.setHealthy(large...)
-			w.setPartition(small, large, true, true)
-			begun, knew := w.now, map[int]time.Duration{}
-			for w.now-begun < 25*time.Second {
-				w.runFor(50 * time.Millisecond)
+			sim.setHealthy(large...)
+			sim.setPartition(small, large, true, true)
+			start, isolatedAfter := sim.now, map[int]time.Duration{}
+			for sim.now-start < 25*time.Second {
+				sim.runFor(50 * time.Millisecond)
 				for _, i := range small {
-					if knew[i] == 0 && w.nodes[i].isolatedSince > 0 {
-						knew[i] = w.now - begun
+					if isolatedAfter[i] == 0 && sim.nodes[i].isolatedSince > 0 {
+						isolatedAfter[i] = sim.now - start
 					}
 				}
 			}
 			for _, i := range small {
-				if knew[i] == 0 || knew[i] > 3500*time.Millisecond || len(w.nodes[i].core.View().Members) != 5 {
-					t.Errorf("seed %d: %d knew after %v", seed, i, knew[i])
+				if isolatedAfter[i] == 0 || isolatedAfter[i] > 3500*time.Millisecond || len(sim.nodes[i].core.View().Members) != 5 {
+					t.Errorf("seed %d: member %d isolated after %v, want 3.5s at most, in the earlier view", seed, i, isolatedAfter[i])
 				}
 			}
-			if n := len(w.nodes[large[0]].core.View().Members); n != 3 {
-				t.Errorf("seed %d: the larger part has a view of %d", seed, n)
+			if n := len(sim.nodes[large[0]].core.View().Members); n != 3 {
+				t.Errorf("seed %d: the larger side has a view of %d members, want 3", seed, n)
 			}
-			w.setPartition(small, large, true, false)
-			w.awaitView(5, 20*time.Second)
-			w.runFor(5 * time.Second)
-			w.assertNoFalseRemoval("parts")
+			sim.setPartition(small, large, true, false)
+			sim.awaitView(5, 20*time.Second)
+			sim.runFor(5 * time.Second)
+			sim.assertNoFalseRemoval("partition")
 		}
 	}
 }
 
-// A way that comes and goes each second for a minute.
+// The connections of one member fail and recover alternately, each second, for a minute. No other member is removed, and all
+// members are in one view within 20 s afterwards.
 func TestFlappingMemberRejoins(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newFiveMemberFleet(t, seed)
-		w.setHealthy(0, 1, 2, 3)
+		sim := newFiveMemberFleet(t, seed)
+		sim.setHealthy(0, 1, 2, 3)
 		for i := range 60 {
-			w.setPartition([]int{4}, indicesUpTo(4), true, i%2 == 0)
-			w.runFor(time.Second)
+			sim.setPartition([]int{4}, indicesUpTo(4), true, i%2 == 0)
+			sim.runFor(time.Second)
 		}
-		w.setPartition([]int{4}, indicesUpTo(4), true, false)
-		w.awaitView(5, 20*time.Second)
-		w.assertNoFalseRemoval("flapping")
+		sim.setPartition([]int{4}, indicesUpTo(4), true, false)
+		sim.awaitView(5, 20*time.Second)
+		sim.assertNoFalseRemoval("flapping connections")
 	}
 }
 
-// One has a core that is taken most of the time: it accuses nobody.
+// One member's ticks are late by up to 700 ms, as on a busy CPU. It must not take its own delay for a failure of others.
 func TestDelayedTicksRemoveNoMember(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newFiveMemberFleet(t, seed)
-		w.setHealthy(0, 1, 2, 3, 4)
-		w.nodes[4].tickDelay = 700 * time.Millisecond
-		w.runFor(2 * time.Minute)
-		w.assertNoFalseRemoval("busy")
+		sim := newFiveMemberFleet(t, seed)
+		sim.setHealthy(0, 1, 2, 3, 4)
+		sim.nodes[4].tickDelay = 700 * time.Millisecond
+		sim.runFor(2 * time.Minute)
+		sim.assertNoFalseRemoval("delayed ticks")
 	}
 }
 
-// One lies about another: it alone takes nobody out.
+// One member reports a healthy one as suspected with each tick. The reports of a single observer do not remove a member.
 func TestFalseSuspicionsOfOneMemberRemoveNobody(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newFiveMemberFleet(t, seed)
-		w.setHealthy(0, 1, 2, 3, 4)
-		victim := w.nodes[2].core.options.Self
-		w.nodes[4].falseSuspect = &victim
-		w.runFor(time.Minute)
-		w.assertNoFalseRemoval("liar")
+		sim := newFiveMemberFleet(t, seed)
+		sim.setHealthy(0, 1, 2, 3, 4)
+		victim := sim.nodes[2].core.options.Self
+		sim.nodes[4].falseSuspect = &victim
+		sim.runFor(time.Minute)
+		sim.assertNoFalseRemoval("false suspicions")
 	}
 }
 
-// A process that is started again on its address is in at once; one that comes with a name in use elsewhere is told to go,
-// and one that left in so many words is out at once.
+// A process that is restarted on its address replaces its earlier incarnation within 4 s. A process whose name is in use at
+// another address is rejected. A member that announces its departure is removed within 2 s.
 func TestRestartNameConflictAndLeave(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newFiveMemberFleet(t, seed)
-		w.setHealthy(0, 1, 2, 3)
-		w.nodes[4].killed = true
-		w.startNode(Member{Name: "m0004", Address: "a4", Incarnation: w.rng.Uint64()}, 4)
-		w.runFor(time.Second)
-		if took := w.awaitView(5, 10*time.Second); took > 4*time.Second {
-			t.Errorf("started again: in after %v", took)
+		sim := newFiveMemberFleet(t, seed)
+		sim.setHealthy(0, 1, 2, 3)
+		sim.nodes[4].killed = true
+		sim.startNode(Member{Name: "m0004", Address: "a4", Incarnation: sim.rng.Uint64()}, 4)
+		sim.runFor(time.Second)
+		if took := sim.awaitView(5, 10*time.Second); took > 4*time.Second {
+			t.Errorf("restarted: admitted after %v, want 4s at most", took)
 		}
-		w.setHealthy(0, 1, 2, 3, 4)
-		other := w.startNode(Member{Name: "m0002", Address: "other", Incarnation: w.rng.Uint64()}, 5)
-		w.runFor(5 * time.Second)
+		sim.setHealthy(0, 1, 2, 3, 4)
+		other := sim.startNode(Member{Name: "m0002", Address: "other", Incarnation: sim.rng.Uint64()}, 5)
+		sim.runFor(5 * time.Second)
 		if !other.core.IsNameTaken() {
-			t.Errorf("seed %d: a second process of one name was not told to go", seed)
+			t.Errorf("seed %d: a second process with a name in use was not rejected", seed)
 		}
 		other.killed = true
-		w.nodes = w.nodes[:5]
-		w.assertNoFalseRemoval("names")
-		w.setHealthy(0, 1, 2, 4)
-		w.nodes[3].core.Leave(w.now)
-		w.nodes[3].handleReady()
-		w.runFor(200 * time.Millisecond)
-		w.nodes[3].killed = true
-		if took := w.awaitView(4, 10*time.Second); took > 2*time.Second {
-			t.Errorf("left: out after %v", took)
+		sim.nodes = sim.nodes[:5]
+		sim.assertNoFalseRemoval("name conflict")
+		sim.setHealthy(0, 1, 2, 4)
+		sim.nodes[3].core.Leave(sim.now)
+		sim.nodes[3].handleReady()
+		sim.runFor(200 * time.Millisecond)
+		sim.nodes[3].killed = true
+		if took := sim.awaitView(4, 10*time.Second); took > 2*time.Second {
+			t.Errorf("departure announced: removed after %v, want 2s at most", took)
 		}
-		w.assertNoFalseRemoval("left")
+		sim.assertNoFalseRemoval("departure")
 	}
 }
 
-// quotaSum is what all take of the whole together, as they count themselves now.
-func (w *simulation) quotaSum() (sum float64) {
-	for _, n := range w.nodes {
+// quotaSum returns the sum of the quotas that the running members use now, as a fraction of the shared limit.
+func (sim *simulation) quotaSum() (sum float64) {
+	for _, n := range sim.nodes {
 		if n.killed || n.paused {
 			continue
 		}
-		if quota := n.core.Quota(w.now); !quota.Minimal {
+		if quota := n.core.Quota(sim.now); !quota.Minimal {
 			sum += 1 / float64(quota.Members)
 		}
 	}
 	return sum
 }
 
-// In a cut that lasts, what is taken of the whole never adds up to more than all, and the larger part has taken the lost
-// ones' over soon; the same where some are killed. In a fleet of five within 5 s.
+// During a lasting partition, or after some members are killed, the quotas never add up to more than the shared limit. The
+// remaining majority takes over the quotas of the lost members within 5 s in a fleet of five, and within 10 s in a large fleet.
 func TestQuotaSumNeverExceedsLimit(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{5, 20} {
@@ -273,116 +280,116 @@
 		if n > fullMeshMembers {
 			within = 10 * time.Second
 		}
-		plays := uint64(seedCount)
-		if n > fullMeshMembers && !*fullSize {
-			plays = 5
+		runs := uint64(seedCount)
+		if n > fullMeshMembers && !*long {
+			runs = 5
 		}
-		for seed := range plays {
+		for seed := range runs {
 			for _, kill := range []bool{false, true} {
-				w := newSimulation(t, seed, n)
-				w.awaitView(n, 30*time.Second)
-				w.runFor(3 * time.Second)
+				sim := newSimulation(t, seed, n)
+				sim.awaitView(n, 30*time.Second)
+				sim.runFor(3 * time.Second)
 				if kill {
 					for _, i := range lost {
-						w.nodes[i].killed = true
+						sim.nodes[i].killed = true
 					}
 				} else {
-					w.setPartition(lost, excludeIndices(indicesUpTo(n), lost...), true, true)
+					sim.setPartition(lost, excludeIndices(indicesUpTo(n), lost...), true, true)
 				}
-				begun, over := w.now, time.Duration(0)
-				for w.now-begun < 20*time.Second {
-					w.runFor(10 * time.Millisecond)
-					if sum := w.quotaSum(); sum > 1.0001 {
-						t.Fatalf("seed %d, %d members, killed %v: %.2f of the whole after %v", seed, n, kill, sum, w.now-begun)
+				start, takenOverAfter := sim.now, time.Duration(0)
+				for sim.now-start < 20*time.Second {
+					sim.runFor(10 * time.Millisecond)
+					if sum := sim.quotaSum(); sum > 1.0001 {
+						t.Fatalf("seed %d, %d members, killed %v: the quotas add up to %.2f of the limit after %v", seed, n, kill, sum, sim.now-start)
 					}
-					if quota := w.nodes[0].core.Quota(w.now); over == 0 && !quota.Minimal && quota.Members == n-len(lost) {
-						over = w.now - begun
+					if quota := sim.nodes[0].core.Quota(sim.now); takenOverAfter == 0 && !quota.Minimal && quota.Members == n-len(lost) {
+						takenOverAfter = sim.now - start
 					}
 				}
-				if over == 0 || over > within {
-					t.Errorf("seed %d, %d members, killed %v: taken over after %v", seed, n, kill, over)
+				if takenOverAfter == 0 || takenOverAfter > within {
+					t.Errorf("seed %d, %d members, killed %v: lost quotas taken over after %v", seed, n, kill, takenOverAfter)
 				}
 			}
 		}
 	}
 }
 
-// All are started anew at once, or most of them while some stay, who can never have a majority of their view again: all
-// end in one view.
+// All members restart at once, or most of them while the others keep running. The others can never have a majority of their
+// view again, as a restarted process is not a member of it. All processes are in one view within 30 s.
 func TestRestartedMembersFormOneView(t *testing.T) {
 	t.Parallel()
-	for _, anew := range [][]int{{0, 1, 2, 3, 4}, {2, 3, 4}, {0, 1, 2}, {1, 2, 3, 4}} {
+	for _, restarted := range [][]int{{0, 1, 2, 3, 4}, {2, 3, 4}, {0, 1, 2}, {1, 2, 3, 4}} {
 		for seed := range uint64(seedCount) {
-			w := newFiveMemberFleet(t, seed)
-			fault{kind: "again", members: anew}.setActive(w, true)
-			w.runFor(time.Second)
-			if took := w.awaitView(5, time.Minute); took > 30*time.Second {
-				t.Errorf("seed %d, %v: one view after %v", seed, anew, took)
+			sim := newFiveMemberFleet(t, seed)
+			fault{kind: "again", members: restarted}.setActive(sim, true)
+			sim.runFor(time.Second)
+			if took := sim.awaitView(5, time.Minute); took > 30*time.Second {
+				t.Errorf("seed %d, restarted %v: one view after %v, want 30s at most", seed, restarted, took)
 			}
 		}
 	}
 }
 
-// Two halves that were founded apart, as they could not reach each other, become one fleet.
+// Two fleets of one name that were founded on the two sides of a partition merge into one after it heals.
 func TestSeparatelyFoundedFleetsMerge(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newSimulation(t, seed, 0)
+		sim := newSimulation(t, seed, 0)
 		for i := range 5 {
-			n := w.addNode(i)
+			n := sim.addNode(i)
 			n.core.options.Bootstrap = i < 2
 		}
-		w.setPartition([]int{0, 2}, []int{1, 3, 4}, true, true)
-		w.runFor(20 * time.Second)
-		if a, b := w.nodes[0].core.View(), w.nodes[1].core.View(); a == nil || b == nil || a.Lineage == b.Lineage || len(a.Members) != 2 || len(b.Members) != 3 {
-			t.Fatalf("not founded apart: %v, %v", a, b)
+		sim.setPartition([]int{0, 2}, []int{1, 3, 4}, true, true)
+		sim.runFor(20 * time.Second)
+		if a, b := sim.nodes[0].core.View(), sim.nodes[1].core.View(); a == nil || b == nil || a.Lineage == b.Lineage || len(a.Members) != 2 || len(b.Members) != 3 {
+			t.Fatalf("the two sides did not found fleets of 2 and 3 members: %v, %v", a, b)
 		}
-		w.setPartition([]int{0, 2}, []int{1, 3, 4}, true, false)
-		w.awaitView(5, time.Minute)
+		sim.setPartition([]int{0, 2}, []int{1, 3, 4}, true, false)
+		sim.awaitView(5, time.Minute)
 	}
 }
 
-// One that was taken out goes back into no older view, whoever tells it of one: it has forgotten what it promised there,
-// and could promise the opposite.
+// A process that was removed from a view rejects every older view. It has discarded the promises that it made there, and could
+// make contradicting ones.
 func TestRemovedMemberRejectsOlderView(t *testing.T) {
 	t.Parallel()
-	w := newFiveMemberFleet(t, 1)
-	c := w.nodes[4].core
-	old := c.View()
-	without, err := old.Apply(&Delta{Remove: []Member{c.options.Self}})
+	sim := newFiveMemberFleet(t, 1)
+	c := sim.nodes[4].core
+	oldView := c.View()
+	withoutSelf, err := oldView.Apply(&Delta{Remove: []Member{c.options.Self}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	say := func(v *View) {
-		c.Receive(w.now, &Message{Kind: ViewResponse, From: w.nodes[0].core.options.Self, Lineage: v.Lineage, ViewNumber: v.Number, View: v})
+	receiveView := func(v *View) {
+		c.Receive(sim.now, &Message{Kind: ViewResponse, From: sim.nodes[0].core.options.Self, Lineage: v.Lineage, ViewNumber: v.Number, View: v})
 	}
-	say(without)
+	receiveView(withoutSelf)
 	if c.View() != nil {
-		t.Fatal("still in a view that it was taken out of")
+		t.Fatal("still in a view after a newer view without this process")
 	}
-	if say(old); c.View() != nil {
-		t.Error("back in the older view")
+	if receiveView(oldView); c.View() != nil {
+		t.Error("entered an older view, want no view")
 	}
-	again, err := without.Apply(&Delta{Add: []Member{c.options.Self}})
+	withSelf, err := withoutSelf.Apply(&Delta{Add: []Member{c.options.Self}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if say(again); c.View() == nil || c.View().Number != again.Number {
-		t.Error("not in the newer view")
+	if receiveView(withSelf); c.View() == nil || c.View().Number != withSelf.Number {
+		t.Error("did not enter the newer view that holds this process")
 	}
 }
 
-// In a large fleet the way between one member and the clerk that all ask is cut: it is not out for that, nor is the clerk.
+// In a large fleet, one member is partitioned from the collector that all members ask first. Neither of the two is removed.
 func TestCollectorPartitionRemovesNoMember(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seedCount) {
-		w := newSimulation(t, seed, 20)
-		w.awaitView(20, 30*time.Second)
-		w.setHealthy(indicesUpTo(20)...)
-		clerk := w.nodes[0].core.collectors[0]
-		other := (clerk + 1 + int(seed)%19) % 20
-		w.setPartition([]int{clerk}, []int{other}, true, true)
-		w.runFor(15 * time.Second)
-		w.assertNoFalseRemoval("clerk")
+		sim := newSimulation(t, seed, 20)
+		sim.awaitView(20, 30*time.Second)
+		sim.setHealthy(indicesUpTo(20)...)
+		collector := sim.nodes[0].core.collectors[0]
+		other := (collector + 1 + int(seed)%19) % 20
+		sim.setPartition([]int{collector}, []int{other}, true, true)
+		sim.runFor(15 * time.Second)
+		sim.assertNoFalseRemoval("partition from the first collector")
 	}
 }
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -9,7 +9,7 @@
 const (
 	DiagnosisReceivesNothing DiagnosisKind = "deaf"    // a member reaches hardly anybody, but is reached
 	DiagnosisSendsNothing    DiagnosisKind = "mute"    // a member is not reached, but reaches others
-	DiagnosisUnreachable            DiagnosisKind = "gone"    // a member is not reached, and reports nothing, or reaches nobody
+	DiagnosisUnreachable     DiagnosisKind = "gone"    // a member is not reached, and reports nothing, or reaches nobody
 	DiagnosisPair            DiagnosisKind = "pair"    // two members do not reach each other
 	DiagnosisOneWay          DiagnosisKind = "one way" // the first member does not reach the second
 	DiagnosisPartition       DiagnosisKind = "part"    // several members are cut off together
--- a/internal/fleet/membership/search_test.go
+++ b/internal/fleet/membership/search_test.go
@@ -13,271 +13,287 @@
 	"pgregory.net/rapid"
 )
 
-var fullSize = flag.Bool("long", false, "play the full size of what is scaled down by default")
+var long = flag.Bool("long", false, "run the tests at full size instead of the reduced default")
 
-// search plays orders in which messages of the agreement on one view are delivered or lost, to a depth, with two
-// members that propose different changes and one that proposes again. It returns how many states it saw, and what was wrong.
+// search explores the orders in which the messages of the agreement on one view can be delivered or lost. Two members propose
+// different changes, and the first one may propose a third change later. The search ends at maxDepth steps, at maxStates
+// states, or at the first violation.
 type search struct {
-	members int
-	forgetPromises bool // the fault that it has to find: promises are forgotten
-	maxDepth   int
-	maxStates    int
-	seen    map[string]bool
-	violation   error
-	rng     *rand.Rand
+	members        int
+	forgetPromises bool // an injected fault: acceptors forget what they promised and accepted
+	maxDepth       int
+	maxStates      int
+	seen           map[string]bool // the fingerprints of the states explored
+	violation      error
+	rng            *rand.Rand
 }
 
-// step is one of: deliver or lose a message that is on its way, or propose again.
+// step is one step of a search: it delivers or loses a message in flight, or has a member propose again.
 type step struct {
-	action string
-	index   int
+	action string // "deliver", "lose" or "again"
+	index  int    // of the message in flight, or of the proposing member
 }
 
+// searchState is the state that a path of steps leads to.
 type searchState struct {
-	cores []*Core
+	cores      []*Core
 	inFlight   []Envelope
-	retries int
+	retries    int // how many times a member has proposed again
 	viewHashes map[uint64]uint64
-	violation error
+	violation  error
 }
 
+// replay returns the state after a path of steps from the initial state.
 func (s *search) replay(path []step) *searchState {
-	t := &searchState{viewHashes: map[uint64]uint64{}}
-	v := &View{Lineage: 1, Number: 1}
+	state := &searchState{viewHashes: map[uint64]uint64{}}
+	view := &View{Lineage: 1, Number: 1}
 	for i := range s.members {
-		v.Members = append(v.Members, Member{Name: fmt.Sprint("m", i), Address: fmt.Sprint(i), Incarnation: uint64(i + 1)})
+		view.Members = append(view.Members, Member{Name: fmt.Sprint("m", i), Address: fmt.Sprint(i), Incarnation: uint64(i + 1)})
 	}
 	for i := range s.members {
-		c := New(Options{Self: v.Members[i], Rand: rand.New(rand.NewPCG(1, uint64(i)))})
-		c.now = time.Hour
-		c.installView(v)
-		t.cores = append(t.cores, c)
+		core := New(Options{Self: view.Members[i], Rand: rand.New(rand.NewPCG(1, uint64(i)))})
+		core.now = time.Hour
+		core.installView(view)
+		state.cores = append(state.cores, core)
 	}
 	for i := range 2 {
-		t.cores[i].startProposal(&Delta{Add: []Member{{Name: fmt.Sprint("x", i), Address: "x", Incarnation: 9}}})
+		state.cores[i].startProposal(&Delta{Add: []Member{{Name: fmt.Sprint("x", i), Address: "x", Incarnation: 9}}})
 	}
-	t.collectMessages(s)
-	for _, p := range path {
-		switch p.action {
+	state.collectMessages(s)
+	for _, next := range path {
+		switch next.action {
 		case "deliver":
-			m := t.inFlight[p.index]
-			t.inFlight = slices.Delete(t.inFlight, p.index, p.index+1)
-			for _, c := range t.cores {
-				if c.options.Self.Name == m.To.Name {
-					msg := *m.Message
-					c.Receive(c.now, &msg)
+			envelope := state.inFlight[next.index]
+			state.inFlight = slices.Delete(state.inFlight, next.index, next.index+1)
+			for _, core := range state.cores {
+				if core.options.Self.Name == envelope.To.Name {
+					message := *envelope.Message
+					core.Receive(core.now, &message)
 				}
 			}
 		case "lose":
-			t.inFlight = slices.Delete(t.inFlight, p.index, p.index+1)
+			state.inFlight = slices.Delete(state.inFlight, next.index, next.index+1)
 		case "again":
-			t.retries++
-			if c := t.cores[p.index]; c.view.Number == 1 {
-				c.startProposal(&Delta{Add: []Member{{Name: "x2", Address: "x", Incarnation: 9}}})
+			state.retries++
+			if core := state.cores[next.index]; core.view.Number == 1 {
+				core.startProposal(&Delta{Add: []Member{{Name: "x2", Address: "x", Incarnation: 9}}})
 			}
 		}
-		t.collectMessages(s)
+		state.collectMessages(s)
 	}
-	return t
+	return state
 }
 
-func (t *searchState) collectMessages(s *search) {
-	for _, c := range t.cores {
-		out, _ := c.Ready()
-		for _, o := range out {
-			switch o.Message.Kind {
+// collectMessages adds the messages that the members send to those in flight, and compares the views that they install. Rejections
+// are left out, as they have no effect on a proposer.
+func (state *searchState) collectMessages(s *search) {
+	for _, core := range state.cores {
+		outgoing, _ := core.Ready()
+		for _, envelope := range outgoing {
+			switch envelope.Message.Kind {
 			case Prepare, Promise, Accept, Accepted:
-				if o.Message.Kind == Prepare || o.Message.Kind == Accept || o.Message.Affirmed {
-					t.inFlight = append(t.inFlight, o)
+				if envelope.Message.Kind == Prepare || envelope.Message.Kind == Accept || envelope.Message.Affirmed {
+					state.inFlight = append(state.inFlight, envelope)
 				}
 			}
 		}
 		if s.forgetPromises {
-			c.accepted = acceptor{}
+			core.accepted = acceptor{}
 		}
-		if c.view.Number > 1 {
-			if h, is := t.viewHashes[c.view.Number]; is && h != c.view.Hash() {
-				t.violation = fmt.Errorf("view %d differs", c.view.Number)
+		if core.view.Number > 1 {
+			if hash, found := state.viewHashes[core.view.Number]; found && hash != core.view.Hash() {
+				state.violation = fmt.Errorf("view %d differs between two members", core.view.Number)
 			}
-			t.viewHashes[c.view.Number] = c.view.Hash()
+			state.viewHashes[core.view.Number] = core.view.Hash()
 		}
 	}
 }
 
-func (t *searchState) fingerprint() string {
+// fingerprint identifies the state, so that states reached by several paths are explored once.
+func (state *searchState) fingerprint() string {
 	var b strings.Builder
-	for _, c := range t.cores {
-		p := c.proposal
-		fmt.Fprintf(&b, "%d %v %v %v|%v %v %v %v|", c.view.Hash(), c.accepted.promised, c.accepted.acceptedBallot, c.accepted.acceptedValue, p.ballot, p.value, len(p.promises), len(p.accepts))
-		for _, set := range []map[string]bool{p.promises, p.accepts} {
+	for _, core := range state.cores {
+		proposal := core.proposal
+		fmt.Fprintf(&b, "%d %v %v %v|%v %v %v %v|", core.view.Hash(), core.accepted.promised, core.accepted.acceptedBallot, core.accepted.acceptedValue, proposal.ballot, proposal.value, len(proposal.promises), len(proposal.accepts))
+		for _, set := range []map[string]bool{proposal.promises, proposal.accepts} {
 			names := []string{}
-			for n := range set {
-				names = append(names, n)
+			for name := range set {
+				names = append(names, name)
 			}
 			slices.Sort(names)
 			fmt.Fprint(&b, names)
 		}
 	}
-	var way []string
-	for _, s := range t.inFlight {
-		way = append(way, fmt.Sprint(s.To.Name, s.Message.From.Name, s.Message.Kind, s.Message.Ballot, s.Message.PriorBallot, s.Message.Delta))
+	var inFlight []string
+	for _, envelope := range state.inFlight {
+		inFlight = append(inFlight, fmt.Sprint(envelope.To.Name, envelope.Message.From.Name, envelope.Message.Kind, envelope.Message.Ballot, envelope.Message.PriorBallot, envelope.Message.Delta))
 	}
-	slices.Sort(way)
-	fmt.Fprint(&b, way, t.retries)
+	slices.Sort(inFlight)
+	fmt.Fprint(&b, inFlight, state.retries)
 	return b.String()
 }
 
+// explore visits the states that follow a path, depth first.
 func (s *search) explore(path []step) {
 	if s.violation != nil || len(s.seen) >= s.maxStates {
 		return
 	}
-	t := s.replay(path)
-	if t.violation != nil {
-		s.violation = fmt.Errorf("%v: %w", path, t.violation)
+	state := s.replay(path)
+	if state.violation != nil {
+		s.violation = fmt.Errorf("%v: %w", path, state.violation)
 		return
 	}
-	sig := t.fingerprint()
-	if s.seen[sig] || len(path) >= s.maxDepth {
+	fingerprint := state.fingerprint()
+	if s.seen[fingerprint] || len(path) >= s.maxDepth {
 		return
 	}
-	s.seen[sig] = true
+	s.seen[fingerprint] = true
 	var next []step
-	for i := range t.inFlight {
+	for i := range state.inFlight {
 		next = append(next, step{"deliver", i}, step{"lose", i})
 	}
-	if t.retries < 1 {
+	if state.retries < 1 {
 		next = append(next, step{"again", 0})
 	}
-	s.rng.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] }) // not one corner alone where there are too many
-	for _, p := range next {
-		s.explore(append(slices.Clone(path), p))
+	s.rng.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] }) // a search that ends at maxStates then does not cover one region alone
+	for _, following := range next {
+		s.explore(append(slices.Clone(path), following))
 	}
 }
 
-// Two views of one number never differ, in whatever order messages come and whichever are lost; the search finds a member
-// that forgets its promises.
+// Two views of one number never differ, in whatever order messages arrive and whichever are lost. As a check of the search
+// itself, it must find a violation when members forget their promises.
 func TestSearchFindsNoConflictingViews(t *testing.T) {
 	t.Parallel()
-	most := 600
-	if *fullSize {
-		most = 100_000
+	maxStates := 600
+	if *long {
+		maxStates = 100_000
 	}
-	play := func(members, most int, amnesia bool) *search {
-		s := &search{members: members, maxDepth: 30, maxStates: most, forgetPromises: amnesia, seen: map[string]bool{}, rng: rand.New(rand.NewPCG(36, uint64(members)))}
+	runSearch := func(members, maxStates int, forgetPromises bool) *search {
+		s := &search{members: members, maxDepth: 30, maxStates: maxStates, forgetPromises: forgetPromises, seen: map[string]bool{}, rng: rand.New(rand.NewPCG(36, uint64(members)))}
 		s.explore(nil)
-		t.Logf("%d members, forgetting %v: %d states, %v", members, amnesia, len(s.seen), s.violation)
+		t.Logf("%d members, promises forgotten %v: %d states, violation: %v", members, forgetPromises, len(s.seen), s.violation)
 		return s
 	}
 	for _, members := range []int{3, 4, 5} {
-		if s := play(members, most, false); s.violation != nil {
+		if s := runSearch(members, maxStates, false); s.violation != nil {
 			t.Error(s.violation)
 		}
 	}
-	if s := play(3, 100_000, true); s.violation == nil {
-		t.Error("a member that forgets its promises was not found")
+	if s := runSearch(3, 100_000, true); s.violation == nil {
+		t.Error("no violation found though members forget their promises")
 	}
 }
 
-// fault is something that happens to some members of a world for a time.
+// fault is a failure that affects some members of a simulation for a time. Its kind is one of:
+//   - "pause": the processes are paused
+//   - "mute": the other processes do not receive their messages
+//   - "deaf": they do not receive the messages of the other processes
+//   - "part": both, a partition
+//   - "pair": the first and the last of them do not receive each other's messages
+//   - "slow": their ticks are late by up to 1 s
+//   - "loss": 30% of all messages are lost
+//   - "again": they restart
 type fault struct {
-	kind      string
+	kind                  string
 	startsAfter, duration time.Duration
-	members       []int
+	members               []int
 }
 
-func (x fault) setActive(w *simulation, on bool) {
-	all := indicesUpTo(len(w.nodes))
-	rest := excludeIndices(all, x.members...)
-	switch x.kind {
+// setActive begins the fault, or ends it.
+func (f fault) setActive(sim *simulation, active bool) {
+	all := indicesUpTo(len(sim.nodes))
+	others := excludeIndices(all, f.members...)
+	switch f.kind {
 	case "pause":
-		for _, i := range x.members {
-			w.nodes[i].setPaused(on)
+		for _, i := range f.members {
+			sim.nodes[i].setPaused(active)
 		}
 	case "mute":
-		w.setPartition(x.members, rest, false, on)
+		sim.setPartition(f.members, others, false, active)
 	case "deaf":
-		w.setPartition(rest, x.members, false, on)
+		sim.setPartition(others, f.members, false, active)
 	case "part":
-		w.setPartition(x.members, rest, true, on)
+		sim.setPartition(f.members, others, true, active)
 	case "pair":
-		w.setPartition(x.members[:1], x.members[len(x.members)-1:], true, on)
+		sim.setPartition(f.members[:1], f.members[len(f.members)-1:], true, active)
 	case "slow":
-		for _, i := range x.members {
-			w.nodes[i].tickDelay = 0
-			if on {
-				w.nodes[i].tickDelay = time.Second
+		for _, i := range f.members {
+			sim.nodes[i].tickDelay = 0
+			if active {
+				sim.nodes[i].tickDelay = time.Second
 			}
 		}
 	case "loss":
-		w.lossRatio = 0
-		if on {
-			w.lossRatio = 0.3
+		sim.lossRatio = 0
+		if active {
+			sim.lossRatio = 0.3
 		}
-	case "again": // ends, and a new process comes in its place
-		if on {
-			for _, i := range x.members {
-				m := w.nodes[i].core.options.Self
-				w.nodes[i].killed = true
-				w.startNode(Member{Name: m.Name, Address: m.Address, Incarnation: w.rng.Uint64()}, i)
+	case "again": // a restart: the process is killed, and a new one takes its address
+		if active {
+			for _, i := range f.members {
+				self := sim.nodes[i].core.options.Self
+				sim.nodes[i].killed = true
+				sim.startNode(Member{Name: self.Name, Address: self.Address, Incarnation: sim.rng.Uint64()}, i)
 			}
 		}
 	}
 }
 
-// mayRemoveMembers tells whether a trouble may rightly end in a view without those whom it is about.
-func (x fault) mayRemoveMembers() bool {
-	return !slices.Contains([]string{"pair", "slow", "loss"}, x.kind)
+// mayRemoveMembers reports whether a view may remove the members that the fault affects.
+func (f fault) mayRemoveMembers() bool {
+	return !slices.Contains([]string{"pair", "slow", "loss"}, f.kind)
 }
 
-// Random troubles, up to three at the same time, of a minority: no two views of one number, nobody out whom no trouble
-// is about, and all one view when it is over.
+// Up to three random faults, which may overlap, affect a minority of the members. Two views of one number never differ, and no
+// member is removed unless a fault allows it. After the faults end, all members are in one view.
 func TestRandomFaultsRemoveNoHealthyMember(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		sizes := []int{3, 5, 9, 16, 20}
-		if *fullSize {
+		if *long {
 			sizes = append(sizes, 50)
 		}
 		n := rapid.SampledFrom(sizes).Draw(r, "members")
-		w := newSimulation(t, rapid.Uint64().Draw(r, "seed"), n)
-		w.awaitView(n, time.Minute)
-		var troubles []fault
+		sim := newSimulation(t, rapid.Uint64().Draw(r, "seed"), n)
+		sim.awaitView(n, time.Minute)
+		var faults []fault
 		affected := map[int]bool{}
 		budget := (n - 1) / 2
-		for i := range rapid.IntRange(1, 3).Draw(r, "troubles") {
-			x := fault{kind: rapid.SampledFrom([]string{"pause", "mute", "deaf", "part", "pair", "slow", "loss", "again"}).Draw(r, fmt.Sprint("kind", i)),
-				startsAfter:    time.Duration(rapid.IntRange(0, 8000).Draw(r, fmt.Sprint("at", i))) * time.Millisecond,
-				duration: time.Duration(rapid.IntRange(200, 15000).Draw(r, fmt.Sprint("for", i))) * time.Millisecond}
+		for i := range rapid.IntRange(1, 3).Draw(r, "faults") {
+			f := fault{kind: rapid.SampledFrom([]string{"pause", "mute", "deaf", "part", "pair", "slow", "loss", "again"}).Draw(r, fmt.Sprint("kind", i)),
+				startsAfter: time.Duration(rapid.IntRange(0, 8000).Draw(r, fmt.Sprint("at", i))) * time.Millisecond,
+				duration:    time.Duration(rapid.IntRange(200, 15000).Draw(r, fmt.Sprint("for", i))) * time.Millisecond}
 			count := rapid.IntRange(1, max(budget/3, 1)).Draw(r, fmt.Sprint("count", i))
 			for range count {
-				who := rapid.IntRange(1, n-1).Draw(r, "who") // the one that founds again stays
-				if !slices.Contains(x.members, who) {
-					x.members = append(x.members, who)
+				member := rapid.IntRange(1, n-1).Draw(r, "who") // member 0 is never affected: it alone may found a fleet
+				if !slices.Contains(f.members, member) {
+					f.members = append(f.members, member)
 				}
 			}
-			if x.mayRemoveMembers() {
-				more := excludeIndices(x.members, slices.Collect(maps.Keys(affected))...)
-				if len(affected)+len(more) > budget { // a majority stays
+			if f.mayRemoveMembers() {
+				newlyAffected := excludeIndices(f.members, slices.Collect(maps.Keys(affected))...)
+				if len(affected)+len(newlyAffected) > budget { // a majority must stay unaffected
 					continue
 				}
-				for _, i := range more {
+				for _, i := range newlyAffected {
 					affected[i] = true
 				}
 			}
-			troubles = append(troubles, x)
+			faults = append(faults, f)
 		}
 		for i := range n {
 			if !affected[i] {
-				w.healthy[i] = true
+				sim.healthy[i] = true
 			}
 		}
-		for _, x := range troubles {
-			w.schedule(x.startsAfter, func() { x.setActive(w, true) })
-			w.schedule(x.startsAfter+x.duration, func() { x.setActive(w, false) })
+		for _, f := range faults {
+			sim.schedule(f.startsAfter, func() { f.setActive(sim, true) })
+			sim.schedule(f.startsAfter+f.duration, func() { f.setActive(sim, false) })
 		}
-		w.runFor(24 * time.Second)
-		w.assertNoFalseRemoval(fmt.Sprint(troubles))
-		w.awaitView(n, 40*time.Second)
-		w.assertNoFalseRemoval(fmt.Sprint(troubles))
+		sim.runFor(24 * time.Second)
+		sim.assertNoFalseRemoval(fmt.Sprint(faults))
+		sim.awaitView(n, 40*time.Second)
+		sim.assertNoFalseRemoval(fmt.Sprint(faults))
 	})
 }
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -12,8 +12,8 @@
 
 // suspicionReport is what an observer has reported to a collector last.
 type suspicionReport struct {
-	receivedAt       time.Duration
-	suspects map[Member]bool
+	receivedAt time.Duration
+	suspects   map[Member]bool
 }
 
 // activeCollectors returns the members that reports go to, by index in the view.
--- a/internal/fleet/membership/world_test.go
+++ b/internal/fleet/membership/world_test.go
@@ -9,55 +9,59 @@
 	"time"
 )
 
-// simulation is a fleet in virtual time: the real modules, and ways between them that lose, delay, double and are cut by
-// direction and pair. One seed gives one history.
+// simulation runs a fleet of Cores in virtual time. Its network can delay, lose and duplicate messages, and can block them
+// between any two processes in either direction. A run is determined by its seed.
 type simulation struct {
 	t                testing.TB
 	rng              *rand.Rand
 	now              time.Duration
 	queue            eventQueue
-	lastSequence            int
+	lastSequence     int
 	nodes            []*node
 	byAddress        map[string]*node
-	lossRatio        float64
-	maxDelay            time.Duration // at the most, one way
-	duplicationRatio float64
-	blocked              map[[2]int]bool // from, to
+	lossRatio        float64         // of all messages but ViewResponse, which is never lost
+	maxDelay         time.Duration   // one way, beyond the fixed 50 microseconds
+	duplicationRatio float64         // of messages
+	blocked          map[[2]int]bool // by the indices of sender and recipient
 
-	viewHashes          map[[2]uint64]uint64 // by lineage and number: hash
-	falseRemovals        []removal
-	messageCount        int
-	observeMessage func(*Message) // sees each
-	healthy        map[int]bool   // whom no view may take out
-	violation          string
+	viewHashes     map[[2]uint64]uint64 // by lineage and view number
+	falseRemovals  []removal
+	messageCount   int            // messages sent, with those that are lost or blocked
+	observeMessage func(*Message) // called with each message that is sent; may be nil
+	healthy        map[int]bool   // the indices of processes that no view may remove
+	violation      string         // the violated invariant; it ends the run
 }
 
+// removal is the removal of a member by a view.
 type removal struct {
-	at     time.Duration
-	name   string
+	at         time.Duration
+	name       string
 	viewNumber uint64
 }
 
+// node is a simulated process.
 type node struct {
-	simulation             *simulation
+	sim           *simulation
 	index         int
 	core          *Core
-	killed          bool
+	killed        bool
 	paused        bool
-	deferred          []func()      // while paused
-	tickDelay     time.Duration // its ticks come so much late, by turns
+	deferred      []func()      // ticks and up to 4096 messages that arrived during a pause
+	tickDelay     time.Duration // the largest delay of a tick; a random third of the ticks is delayed
 	changes       []Change
 	removals      int
-	isolatedSince time.Duration // since when it thinks that it is isolated; zero: it does not
-	falseSuspect  *Member       // accuses it, whatever it hears
+	isolatedSince time.Duration // when its Core became isolated; zero: it is not isolated
+	falseSuspect  *Member       // a member that it reports as suspected with each tick, whatever it receives
 }
 
+// event is an action at a point of virtual time. Events of the same time run in the order of their sequence numbers.
 type event struct {
-	at    time.Duration
+	at       time.Duration
 	sequence int
-	action    func()
+	action   func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -68,55 +72,58 @@
 func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *eventQueue) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
+// newSimulation starts a fleet of n processes.
 func newSimulation(t testing.TB, seed uint64, n int) *simulation {
 	t.Helper()
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 36)), byAddress: map[string]*node{}, maxDelay: 2 * time.Millisecond, blocked: map[[2]int]bool{},
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 36)), byAddress: map[string]*node{}, maxDelay: 2 * time.Millisecond, blocked: map[[2]int]bool{},
 		viewHashes: map[[2]uint64]uint64{}, healthy: map[int]bool{}}
 	for range n {
-		w.addNode(n)
+		sim.addNode(n)
 	}
-	return w
+	return sim
 }
 
-// addNode starts a process. The first one may found the fleet; the others know two.
-func (w *simulation) addNode(int) *node {
-	i := len(w.nodes)
-	return w.startNode(Member{Name: fmt.Sprintf("m%04d", i), Address: fmt.Sprint("a", i), Incarnation: w.rng.Uint64()}, i)
+// addNode starts another process. All processes have the first two as seeds, and only the first one may found a fleet.
+func (sim *simulation) addNode(int) *node {
+	i := len(sim.nodes)
+	return sim.startNode(Member{Name: fmt.Sprintf("m%04d", i), Address: fmt.Sprint("a", i), Incarnation: sim.rng.Uint64()}, i)
 }
 
-func (w *simulation) startNode(me Member, place int) *node {
-	n := &node{simulation: w, index: place}
-	n.core = New(Options{Self: me, Seeds: []string{"a0", "a1"}, Bootstrap: place == 0, Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1))})
-	if place < len(w.nodes) {
-		w.nodes[place] = n
+// startNode starts a process at an index, where it replaces any earlier process.
+func (sim *simulation) startNode(self Member, index int) *node {
+	n := &node{sim: sim, index: index}
+	n.core = New(Options{Self: self, Seeds: []string{"a0", "a1"}, Bootstrap: index == 0, Rand: rand.New(rand.NewPCG(sim.rng.Uint64(), 1))})
+	if index < len(sim.nodes) {
+		sim.nodes[index] = n
 	} else {
-		w.nodes = append(w.nodes, n)
+		sim.nodes = append(sim.nodes, n)
 	}
-	w.byAddress[me.Address] = n
-	w.schedule(time.Duration(w.rng.Int64N(int64(100*time.Millisecond))), n.tick)
+	sim.byAddress[self.Address] = n
+	sim.schedule(time.Duration(sim.rng.Int64N(int64(100*time.Millisecond))), n.tick)
 	return n
 }
 
-func (w *simulation) schedule(d time.Duration, do func()) {
-	w.lastSequence++
-	heap.Push(&w.queue, event{w.now + d, w.lastSequence, do})
+func (sim *simulation) schedule(delay time.Duration, action func()) {
+	sim.lastSequence++
+	heap.Push(&sim.queue, event{sim.now + delay, sim.lastSequence, action})
 }
 
-func (w *simulation) runFor(d time.Duration) {
-	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end && w.violation == "" {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+// runFor advances the virtual time, and fails the test when an invariant is violated.
+func (sim *simulation) runFor(duration time.Duration) {
+	end := sim.now + duration
+	for len(sim.queue) > 0 && sim.queue[0].at <= end && sim.violation == "" {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.action()
 	}
-	w.now = end
-	if w.violation != "" {
-		w.t.Fatalf("at %v: %s", w.now, w.violation)
+	sim.now = end
+	if sim.violation != "" {
+		sim.t.Fatalf("at %v: invariant violated: %s", sim.now, sim.violation)
 	}
 }
 
@@ -128,37 +135,38 @@
 		n.deferred = append(n.deferred, n.tick)
 		return
 	}
-	n.core.Tick(n.simulation.now)
+	n.core.Tick(n.sim.now)
 	if n.falseSuspect != nil && n.core.view != nil {
 		for _, i := range n.core.activeCollectors() {
 			n.core.send(n.core.view.Members[i], &Message{Kind: Report, Suspects: []Member{*n.falseSuspect}})
 		}
 	}
 	n.handleReady()
-	late := time.Duration(0)
-	if n.tickDelay > 0 && n.simulation.rng.IntN(3) == 0 {
-		late = time.Duration(n.simulation.rng.Int64N(int64(n.tickDelay)))
+	delay := time.Duration(0)
+	if n.tickDelay > 0 && n.sim.rng.IntN(3) == 0 {
+		delay = time.Duration(n.sim.rng.Int64N(int64(n.tickDelay)))
 	}
-	n.simulation.schedule(n.core.TickInterval()+late, n.tick)
+	n.sim.schedule(n.core.TickInterval()+delay, n.tick)
 }
 
+// handleReady checks the changes that the Core returns, and sends its messages.
 func (n *node) handleReady() {
-	w := n.simulation
-	out, changes := n.core.Ready()
-	for _, c := range changes {
-		n.changes = append(n.changes, c)
+	sim := n.sim
+	outgoing, changes := n.core.Ready()
+	for _, change := range changes {
+		n.changes = append(n.changes, change)
 		switch {
-		case c.Violation != "":
-			w.violation = fmt.Sprintf("%s: %s", n.core.options.Self.Name, c.Violation)
-		case c.View != nil:
-			id := [2]uint64{c.View.Lineage, c.View.Number}
-			if h, is := w.viewHashes[id]; is && h != c.View.Hash() {
-				w.violation = fmt.Sprintf("view %d differs: %+v", c.View.Number, c.View.Members)
-			} else if !is {
-				w.viewHashes[id] = c.View.Hash()
-				w.recordFalseRemovals(c.View)
+		case change.Violation != "":
+			sim.violation = fmt.Sprintf("%s: %s", n.core.options.Self.Name, change.Violation)
+		case change.View != nil:
+			id := [2]uint64{change.View.Lineage, change.View.Number}
+			if hash, found := sim.viewHashes[id]; found && hash != change.View.Hash() {
+				sim.violation = fmt.Sprintf("view %d differs from another view of its number: %+v", change.View.Number, change.View.Members)
+			} else if !found {
+				sim.viewHashes[id] = change.View.Hash()
+				sim.recordFalseRemovals(change.View)
 			}
-		case c.Removed:
+		case change.Removed:
 			n.removals++
 		}
 	}
@@ -166,148 +174,155 @@
 	case !n.core.IsIsolated():
 		n.isolatedSince = 0
 	case n.isolatedSince == 0:
-		n.isolatedSince = w.now
+		n.isolatedSince = sim.now
 	}
-	for _, s := range out {
-		if err := s.Message.Check(); err != nil {
-			w.violation = err.Error()
+	for _, envelope := range outgoing {
+		if err := envelope.Message.Check(); err != nil {
+			sim.violation = err.Error()
 		}
-		w.deliver(n, s)
+		sim.deliver(n, envelope)
 	}
 }
 
-// recordFalseRemovals holds a new view against what is true.
-func (w *simulation) recordFalseRemovals(v *View) {
-	if v.Number == 1 {
+// recordFalseRemovals records the healthy members that a new view removes.
+func (sim *simulation) recordFalseRemovals(view *View) {
+	if view.Number == 1 {
 		return
 	}
-	for i := range w.healthy {
-		n := w.nodes[i]
-		if n.core.view != nil && n.core.view.Lineage == v.Lineage && n.core.view.Number <= v.Number && n.core.view.Contains(n.core.options.Self) && !v.Contains(n.core.options.Self) {
-			w.falseRemovals = append(w.falseRemovals, removal{w.now, n.core.options.Self.Name, v.Number})
+	for i := range sim.healthy {
+		n := sim.nodes[i]
+		if n.core.view != nil && n.core.view.Lineage == view.Lineage && n.core.view.Number <= view.Number && n.core.view.Contains(n.core.options.Self) && !view.Contains(n.core.options.Self) {
+			sim.falseRemovals = append(sim.falseRemovals, removal{sim.now, n.core.options.Self.Name, view.Number})
 		}
 	}
 }
 
-func (w *simulation) deliver(from *node, s Envelope) {
-	to := w.byAddress[s.To.Address]
-	w.messageCount++
-	if w.observeMessage != nil {
-		w.observeMessage(s.Message)
+// deliver sends a message over the simulated network.
+func (sim *simulation) deliver(from *node, envelope Envelope) {
+	to := sim.byAddress[envelope.To.Address]
+	sim.messageCount++
+	if sim.observeMessage != nil {
+		sim.observeMessage(envelope.Message)
 	}
-	if to == nil || w.blocked[[2]int{from.index, to.index}] {
+	if to == nil || sim.blocked[[2]int{from.index, to.index}] {
 		return
 	}
 	for copies := 1; copies > 0; copies-- {
-		if w.rng.Float64() < w.duplicationRatio {
+		if sim.rng.Float64() < sim.duplicationRatio {
 			copies++
 		}
-		if w.rng.Float64() < w.lossRatio && s.Message.Kind != ViewResponse {
+		if sim.rng.Float64() < sim.lossRatio && envelope.Message.Kind != ViewResponse {
 			continue
 		}
-		msg := *s.Message
-		w.schedule(50*time.Microsecond+time.Duration(w.rng.Int64N(int64(w.maxDelay))), func() { to.receive(&msg) })
+		message := *envelope.Message
+		sim.schedule(50*time.Microsecond+time.Duration(sim.rng.Int64N(int64(sim.maxDelay))), func() { to.receive(&message) })
 	}
 }
 
-func (n *node) receive(m *Message) {
-	if n.killed || n.simulation.byAddress[n.core.options.Self.Address] != n {
+func (n *node) receive(message *Message) {
+	if n.killed || n.sim.byAddress[n.core.options.Self.Address] != n {
 		return
 	}
 	if n.paused {
 		if len(n.deferred) < 4096 {
-			n.deferred = append(n.deferred, func() { n.receive(m) })
+			n.deferred = append(n.deferred, func() { n.receive(message) })
 		}
 		return
 	}
-	n.core.Receive(n.simulation.now, m)
+	n.core.Receive(n.sim.now, message)
 	n.handleReady()
 }
 
-func (n *node) setPaused(on bool) {
-	n.paused = on
-	if !on {
-		held := n.deferred
+// setPaused pauses the process, or resumes it and has it handle what arrived in the meantime.
+func (n *node) setPaused(paused bool) {
+	n.paused = paused
+	if !paused {
+		deferred := n.deferred
 		n.deferred = nil
-		for _, do := range held {
-			n.simulation.schedule(0, do)
+		for _, action := range deferred {
+			n.sim.schedule(0, action)
 		}
 	}
 }
 
-// setPartition cuts two groups from one another, in one direction or both.
-func (w *simulation) setPartition(a, b []int, both, on bool) {
-	for _, x := range a {
-		for _, y := range b {
-			w.blocked[[2]int{x, y}] = on
+// setPartition blocks messages from group a to group b, and with both also from b to a. If blocked is
+// false, it unblocks them.
+func (sim *simulation) setPartition(a, b []int, both, blocked bool) {
+	for _, from := range a {
+		for _, to := range b {
+			sim.blocked[[2]int{from, to}] = blocked
 			if both {
-				w.blocked[[2]int{y, x}] = on
+				sim.blocked[[2]int{to, from}] = blocked
 			}
 		}
 	}
 }
 
-// awaitView waits until all that are up have one view of so many members, all confirmed.
-func (w *simulation) awaitView(n int, within time.Duration) time.Duration {
-	w.t.Helper()
-	begun := w.now
-	for w.now-begun < within {
-		w.runFor(50 * time.Millisecond)
-		if w.hasAgreedView(n) {
-			return w.now - begun
+// awaitView runs until all running processes have a quorum in the same view, with this many members, and returns how
+// long that took.
+func (sim *simulation) awaitView(members int, within time.Duration) time.Duration {
+	sim.t.Helper()
+	start := sim.now
+	for sim.now-start < within {
+		sim.runFor(50 * time.Millisecond)
+		if sim.hasAgreedView(members) {
+			return sim.now - start
 		}
 	}
-	for _, x := range w.nodes {
-		if !x.killed && !x.paused {
-			if v := x.core.View(); v != nil {
-				w.t.Logf("%s: view %d of %d, sure %v, lonely %v, %+v", x.core.options.Self.Name, v.Number, len(v.Members), x.core.majorityReached, x.core.noMajoritySince, x.core.changePendingSince)
+	for _, n := range sim.nodes {
+		if !n.killed && !n.paused {
+			if view := n.core.View(); view != nil {
+				sim.t.Logf("%s: view %d of %d members, majority reached %v, no majority since %v, change pending since %+v", n.core.options.Self.Name, view.Number, len(view.Members), n.core.majorityReached, n.core.noMajoritySince, n.core.changePendingSince)
 			} else {
-				w.t.Logf("%s: no view", x.core.options.Self.Name)
+				sim.t.Logf("%s: no view", n.core.options.Self.Name)
 			}
 		}
 	}
-	w.t.Fatalf("%v: no agreement on a view of %d within %v", w.now, n, within)
+	sim.t.Fatalf("at %v: no agreement on a view of %d members within %v", sim.now, members, within)
 	return 0
 }
 
-func (w *simulation) hasAgreedView(n int) bool {
-	var view *View
-	for _, x := range w.nodes {
-		if x.killed || x.paused {
+// hasAgreedView reports whether all running processes have a quorum in the same view, with this many members.
+func (sim *simulation) hasAgreedView(members int) bool {
+	var agreed *View
+	for _, n := range sim.nodes {
+		if n.killed || n.paused {
 			continue
 		}
-		v := x.core.View()
-		if v == nil || len(v.Members) != n || !x.core.HasQuorum() || view != nil && (v.Number != view.Number || v.Lineage != view.Lineage) {
+		view := n.core.View()
+		if view == nil || len(view.Members) != members || !n.core.HasQuorum() || agreed != nil && (view.Number != agreed.Number || view.Lineage != agreed.Lineage) {
 			return false
 		}
-		view = v
+		agreed = view
 	}
-	return view != nil
+	return agreed != nil
 }
 
-// assertNoFalseRemoval tells whether no healthy member has been taken out.
-func (w *simulation) assertNoFalseRemoval(what string) {
-	w.t.Helper()
-	if len(w.falseRemovals) > 0 {
-		w.t.Fatalf("%s: healthy members taken out: %v", what, w.falseRemovals[:min(len(w.falseRemovals), 5)])
+// assertNoFalseRemoval fails the test if a view has removed a healthy member.
+func (sim *simulation) assertNoFalseRemoval(condition string) {
+	sim.t.Helper()
+	if len(sim.falseRemovals) > 0 {
+		sim.t.Fatalf("%s: healthy members removed: %v", condition, sim.falseRemovals[:min(len(sim.falseRemovals), 5)])
 	}
 }
 
-// all marks members as healthy.
-func (w *simulation) setHealthy(of ...int) {
-	w.healthy = map[int]bool{}
-	for _, i := range of {
-		w.healthy[i] = true
+// setHealthy sets which members no view may remove, by index.
+func (sim *simulation) setHealthy(indices ...int) {
+	sim.healthy = map[int]bool{}
+	for _, i := range indices {
+		sim.healthy[i] = true
 	}
 }
 
+// newFiveMemberFleet starts five processes, and waits until they are in one view.
 func newFiveMemberFleet(t *testing.T, seed uint64) *simulation {
 	t.Helper()
-	w := newSimulation(t, seed, 5)
-	w.awaitView(5, 30*time.Second)
-	return w
+	sim := newSimulation(t, seed, 5)
+	sim.awaitView(5, 30*time.Second)
+	return sim
 }
 
+// indicesUpTo returns the numbers from 0 to n-1.
 func indicesUpTo(n int) (out []int) {
 	for i := range n {
 		out = append(out, i)
@@ -315,6 +330,7 @@
 	return out
 }
 
-func excludeIndices(all []int, some ...int) []int {
-	return slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(some, i) })
+// excludeIndices returns a copy of all without the excluded indices.
+func excludeIndices(all []int, excluded ...int) []int {
+	return slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(excluded, i) })
 }
