--- a/internal/fleet/membership/consensus.go
+++ b/internal/fleet/membership/consensus.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Each view is one decision by the members of the view before it (single-decree Paxos: Lamport, "Paxos Made Simple", 2001),
-// so that two views of one number never differ. A member keeps its promises in memory only: a process that is restarted has
-// another incarnation, is no member of that view, and is not asked.
+// so that two views of one number never differ. A member keeps its promises in memory only. A process that is restarted has
+// another incarnation, so it is not a member of the earlier view and takes no part in the decision.
 
 // acceptor is what this member has promised and accepted for the next view.
 type acceptor struct {
@@ -13,23 +13,23 @@
 	acceptedValue  *Delta
 }
 
-// proposer is this member's own proposal.
+// proposer is the state of this member's own proposal.
 type proposer struct {
 	ballot      Ballot
 	startedAt   time.Duration
 	value       *Delta
-	priorBallot Ballot // of a value that somebody has accepted before
-	promises    map[string]bool
-	accepts     map[string]bool
+	priorBallot Ballot          // the highest ballot under which a member had accepted a value before
+	promises    map[string]bool // by the names of the members that promised
+	accepts     map[string]bool // by the names of the members that accepted
 	decided     bool
 }
 
-// inProgress reports whether a proposal is under way. One that is not answered ends after proposalTimeout.
+// inProgress reports whether a proposal waits for its decision. It does so for proposalTimeout at most.
 func (p *proposer) inProgress(c *Core) bool {
 	return p.promises != nil && !p.decided && c.now-p.startedAt < c.heartbeats(proposalTimeout)
 }
 
-// startProposal proposes a change.
+// startProposal proposes a change, in a round above all that this process knows.
 func (c *Core) startProposal(delta *Delta) {
 	round := max(c.accepted.promised.Round, c.proposal.ballot.Round) + 1
 	c.proposal = proposer{
@@ -42,7 +42,7 @@
 	c.broadcast(Message{Kind: Prepare, Ballot: c.proposal.ballot})
 }
 
-// retryProposal starts a proposal again that was not decided in time.
+// retryProposal proposes the change that is due now, if the last proposal was not decided within proposalTimeout.
 func (c *Core) retryProposal() {
 	p := &c.proposal
 	if p.promises == nil || p.decided || p.inProgress(c) {
@@ -55,7 +55,7 @@
 	c.proposal = proposer{ballot: p.ballot}
 }
 
-// broadcast sends a message to every member, this one included. It stops once this process has moved to the next view.
+// broadcast sends a message to every member, this process included. It stops once this process has left the view.
 func (c *Core) broadcast(m Message) {
 	for i, member := range c.view.Members {
 		message := m
@@ -72,12 +72,12 @@
 			c.handleAccept(&message)
 		}
 		if c.view == nil || len(c.links) != len(c.view.Members) || i >= len(c.view.Members) {
-			return // decided
+			return // the change was decided, and the view is no longer in force
 		}
 	}
 }
 
-// reply answers a proposer, which may be this process.
+// reply sends an answer to the proposer of a request, which may be this process.
 func (c *Core) reply(request, answer *Message) {
 	if request.From != c.options.Self {
 		c.send(request.From, answer)
@@ -92,7 +92,7 @@
 	}
 }
 
-// handlePrepare is phase 1b: it promises to accept no lower ballot.
+// handlePrepare is phase 1b. The member promises to accept no lower ballot, unless it has promised a higher one.
 func (c *Core) handlePrepare(m *Message) {
 	answer := Message{Kind: Promise, Ballot: m.Ballot}
 	if !m.Ballot.Less(c.accepted.promised) {
@@ -103,8 +103,8 @@
 	c.reply(m, &answer)
 }
 
-// handlePromise is phase 2a: with a majority of promises, it proposes the value accepted under the highest ballot, or this
-// process's own.
+// handlePromise is phase 2a. With a majority of promises, this process proposes the value that was accepted under the highest
+// ballot, or its own if there is none.
 func (c *Core) handlePromise(m *Message) {
 	p := &c.proposal
 	if !p.inProgress(c) || m.Ballot != p.ballot || !m.Affirmed || len(p.accepts) > 0 || p.promises[m.From.Name] {
@@ -119,8 +119,9 @@
 	}
 }
 
-// handleAccept is phase 2b. A member rejects a proposer's own change that would remove a member which it can reach, so that a
-// majority must reach none of them. A value that somebody has accepted before may have been decided, and is not judged again.
+// handleAccept is phase 2b. A member rejects a proposer's own change if it removes a member that this process can reach, so that
+// a majority must be unable to reach a member for its removal. A value that another member has accepted before may have been
+// decided already, so this check does not apply to it.
 func (c *Core) handleAccept(m *Message) {
 	answer := Message{Kind: Accepted, Ballot: m.Ballot}
 	if c.canAccept(m) {
@@ -130,6 +131,7 @@
 	c.reply(m, &answer)
 }
 
+// canAccept reports whether this process accepts the value of an Accept message.
 func (c *Core) canAccept(m *Message) bool {
 	if _, err := c.view.Apply(m.Delta); err != nil {
 		return false
@@ -140,7 +142,9 @@
 	return m.PriorBallot != Ballot{} || c.canAgreeTo(m.Delta)
 }
 
-// canAgreeTo reports whether this process reaches none of the members that a change removes, unless they leave or are replaced.
+// canAgreeTo reports whether this process agrees to the removals of a change. It does not agree if it has lately reached a removed
+// member, directly or through others, that neither leaves, reports isolation nor is replaced. It agrees to its own removal only
+// while it is leaving or isolated.
 func (c *Core) canAgreeTo(delta *Delta) bool {
 	for _, member := range delta.Remove {
 		if member == c.options.Self {
@@ -162,7 +166,7 @@
 	return true
 }
 
-// handleAccepted announces the next view once a majority has accepted the value.
+// handleAccepted installs and announces the next view once a majority has accepted the value.
 func (c *Core) handleAccepted(m *Message) {
 	p := &c.proposal
 	if p.promises == nil || p.decided || m.Ballot != p.ballot || !m.Affirmed {
@@ -189,7 +193,8 @@
 	}
 }
 
-// handleDecided moves to the next view.
+// handleDecided installs the next view. It requests the view in force if this process lacks the view before it, or if the change
+// does not lead to the announced view.
 func (c *Core) handleDecided(m *Message) {
 	if m.ViewNumber > c.view.Number {
 		c.requestView()
@@ -205,15 +210,15 @@
 	c.advanceTo(next)
 }
 
-// The reasons for which a process is in no view any more.
+// The reasons why a process left its view.
 const (
-	reasonRemoved    = "taken out while it was not heard"
+	reasonRemoved    = "removed by the other members, which received no messages from it"
 	reasonLeft       = "left"
-	reasonRestarted  = "most of the fleet has been started anew"
-	reasonOtherFleet = "another fleet of this name is larger, or has its majority"
+	reasonRestarted  = "most members of the fleet have been restarted"
+	reasonOtherFleet = "another fleet of this name is larger, or has a quorum"
 )
 
-// advanceTo moves to a view that was decided, or out of the fleet if it does not hold this process.
+// advanceTo installs a view that was decided, or leaves the fleet if this process is not a member of that view.
 func (c *Core) advanceTo(next *View) {
 	if next.Contains(c.options.Self) {
 		c.installView(next)
--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// peerLink is what is known of another member, from its own messages and from the members that reach it.
+// peerLink holds what this process knows of another member, from that member's own messages and from those that others relay.
 type peerLink struct {
-	reachableAt     time.Duration // its last message, or its last answer through another member
-	lastMessage     time.Duration // its last message
-	unansweredPings int           // since reachableAt, direct and indirect
-	heartbeatSeq    uint64        // of its last heartbeat
-	lossRatio       float64       // the smoothed ratio of heartbeats that do not arrive
-	viewNumber      uint64        // its view, as of its last heartbeat
-	isolatedSince   time.Duration // since when it reports that it is isolated; zero: it does not
-	unreachable     []uint16      // members that it does not reach, by index in the view
+	reachableAt     time.Duration // time of its last message, or of its last answer that another member relayed
+	lastMessage     time.Duration // time of its last message
+	unansweredPings int           // rounds of direct and indirect pings since reachableAt
+	heartbeatSeq    uint64        // sequence number of its last heartbeat
+	lossRatio       float64       // smoothed ratio of lost heartbeats
+	viewNumber      uint64        // number of its view, as of its last heartbeat; zero before its first heartbeat in this view
+	isolatedSince   time.Duration // since when it reports that it is isolated; zero if it does not
+	unreachable     []uint16      // its row: members that it receives no messages from, by index in the view
 	rowUpdatedAt    time.Duration // when unreachable was updated
-	rowSeq          uint64        // the heartbeat that unreachable comes from
-	suspectedSince  time.Duration // by this process; zero: it is not suspected
-	leaving         bool
+	rowSeq          uint64        // sequence number of the heartbeat that reported unreachable
+	suspectedSince  time.Duration // since when this process suspects it; zero if it does not
+	leaving         bool          // whether it has announced its departure in a heartbeat
 }
 
 // lossSmoothing is the weight of one heartbeat in lossRatio.
 const lossSmoothing = 0.1
 
-// maxSeqGap is the largest gap between two heartbeats that counts as loss.
+// maxSeqGap is the gap in sequence numbers from which on missing heartbeats are not counted as lost.
 const maxSeqGap = 100
 
 func newPeerLink(now time.Duration) *peerLink {
 	return &peerLink{reachableAt: now, lastMessage: now}
 }
 
-// shift discounts a delay of this process.
+// shift moves the recorded times forward by a delay of this process.
 func (l *peerLink) shift(delay time.Duration) {
 	l.reachableAt += delay
 	l.lastMessage += delay
@@ -40,11 +40,11 @@
 	}
 }
 
-// isReachable reports whether the member has sent a message lately.
+// isReachable reports whether a message of the member has arrived within reachableWindow.
 func (c *Core) isReachable(l *peerLink) bool { return c.now-l.lastMessage < c.reachableWindow() }
 
-// IsReachable reports whether a member has sent a message lately. A member that this process does not observe counts as
-// reachable.
+// IsReachable reports whether a message of the member with this name has arrived lately. A member that this process does not
+// observe counts as reachable.
 func (c *Core) IsReachable(name string) bool {
 	if c.view == nil {
 		return false
@@ -56,7 +56,7 @@
 	return c.isSelf(i) || !c.observes(i) || c.isReachable(c.links[i])
 }
 
-// observes reports whether this process observes a member, and so receives its heartbeats.
+// observes reports whether this process observes the member at an index, and so receives its heartbeats.
 func (c *Core) observes(i int) bool {
 	if len(c.view.Members) <= fullMeshMembers {
 		return true
@@ -102,6 +102,7 @@
 	link.suspectedSince = 0
 }
 
+// handleHeartbeat updates the link to the member at an index, and the rows that its heartbeat relays.
 func (c *Core) handleHeartbeat(i int, m *Message) {
 	link := c.links[i]
 	link.updateLoss(m.Seq)
@@ -125,10 +126,10 @@
 	}
 }
 
-// conflictingViews is the violation of the agreement on views.
-const conflictingViews = "two views of one number"
+// conflictingViews is the violation reported when another member has a different view of the same number.
+const conflictingViews = "two different views with one number"
 
-// updateLoss counts the heartbeats that are missing before one with a sequence number.
+// updateLoss updates lossRatio with a received heartbeat and with those that are missing before it, by its sequence number.
 func (l *peerLink) updateLoss(seq uint64) {
 	if l.heartbeatSeq == 0 || seq <= l.heartbeatSeq || seq-l.heartbeatSeq >= maxSeqGap {
 		return
@@ -139,7 +140,7 @@
 	l.lossRatio *= 1 - lossSmoothing
 }
 
-// mergeRows updates what other members do not reach, as another member relays it.
+// mergeRows takes over the rows that another member relays, where they are newer than those known here.
 func (c *Core) mergeRows(rows []ReachabilityRow) {
 	for i, row := range rows {
 		link := c.links[i]
@@ -155,8 +156,8 @@
 	}
 }
 
-// reachabilityRows returns what all members do not reach, for those that do not receive it directly. Large fleets do not
-// exchange it.
+// reachabilityRows returns the latest rows of the other members, for members that do not receive their heartbeats directly. Large
+// fleets do not exchange rows.
 func (c *Core) reachabilityRows() []ReachabilityRow {
 	if len(c.links) > fullMeshMembers {
 		return nil
--- a/internal/fleet/membership/install.go
+++ b/internal/fleet/membership/install.go
@@ -1,6 +1,6 @@
 package membership
 
-// installView puts a view in force.
+// installView puts a view in force, and resets all state that belongs to the previous view.
 func (c *Core) installView(view *View) {
 	previous := c.view
 	c.previousView, c.view = previous, view
@@ -14,11 +14,11 @@
 	c.resetPendingChange()
 	c.majorityGrantedAt, c.collectorAnsweredAt = c.now, c.now
 	c.currentCollector, c.noMajoritySince = 0, 0
-	c.majorityReached = previous == nil || c.majorityReached // a majority has admitted a process that had no view
+	c.majorityReached = previous == nil || c.majorityReached // a process that had no view was admitted by a majority
 	c.changes = append(c.changes, Change{View: view})
 }
 
-// installLinks sets who observes whom, and keeps what is known of the members that stay.
+// installLinks computes the observers and subjects of a view, and keeps the links to the members that stay.
 func (c *Core) installLinks(previous, view *View) {
 	wasSubject := map[string]bool{}
 	for _, i := range c.subjects {
@@ -50,14 +50,14 @@
 	}
 	link := c.links[i]
 	link.unreachable, link.suspectedSince = nil, 0
-	link.viewNumber = 0 // it has confirmed nothing of this view yet
-	if !wasSubject {    // it had no reason to send anything to this process
+	link.viewNumber = 0 // the member has not confirmed this view yet
+	if !wasSubject {    // the member had no reason to send messages to this process
 		link.reachableAt, link.lastMessage, link.heartbeatSeq = c.now, c.now, 0
 	}
 	return link
 }
 
-// recordDepartures records the members that the view does not hold any more.
+// recordDepartures records the members of the previous view that are not in this one, and discards entries that the view settles.
 func (c *Core) recordDepartures(previous, view *View) {
 	if previous != nil {
 		for _, m := range previous.Members {
@@ -78,7 +78,7 @@
 	}
 }
 
-// resetPendingChange forgets reports and proposals, which count only in the view that they were made in.
+// resetPendingChange discards reports, grant requests and proposals, which are valid only in the view in which they were made.
 func (c *Core) resetPendingChange() {
 	clear(c.reports)
 	clear(c.renewals)
@@ -87,7 +87,8 @@
 	c.accepted, c.proposal = acceptor{}, proposer{}
 }
 
-// leaveView returns to the state of a process in no view: it was removed, or moves to a larger fleet.
+// leaveView returns to the state of a process in no view. It is called when this process leaves, was removed, or moves to another
+// fleet.
 func (c *Core) leaveView(reason string) {
 	c.changes = append(c.changes, Change{Removed: true, Reason: reason})
 	c.addSeeds(c.view.Members)
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// maxSeeds bounds the addresses that join requests go to.
+// maxSeeds is the number of seeds up to which addSeeds adds addresses.
 const maxSeeds = 16
 
-// requestJoin asks the seeds to admit this process, or founds a fleet.
+// requestJoin asks the seeds to admit this process, once per requestInterval, or founds a fleet.
 func (c *Core) requestJoin() {
 	if c.leaving || c.nameTaken {
 		return
@@ -23,8 +23,8 @@
 	}
 }
 
-// mayBootstrap reports whether this process founds a fleet now. Of several processes without a view, the one with the first
-// name does.
+// mayBootstrap reports whether this process founds a fleet now. Of several processes without a view, only the one whose name is
+// first in alphabetical order does.
 func (c *Core) mayBootstrap() bool {
 	mayFound := c.options.Bootstrap
 	for name, until := range c.unjoined {
@@ -41,7 +41,7 @@
 	return mayFound && (c.now-c.startedAt >= delay || len(c.options.Seeds) == 0)
 }
 
-// addSeeds adds the addresses of some members to the seeds.
+// addSeeds adds addresses of random members to the seeds, up to maxSeeds.
 func (c *Core) addSeeds(members []Member) {
 	for _, i := range c.options.Rand.Perm(len(members)) {
 		address := members[i].Address
@@ -51,7 +51,7 @@
 	}
 }
 
-// handleOutsideView handles messages to or from processes that are in no view.
+// handleOutsideView handles the messages that a process may send or receive while it is in no view.
 func (c *Core) handleOutsideView(m *Message) {
 	switch m.Kind {
 	case ViewResponse:
@@ -68,18 +68,18 @@
 	}
 }
 
-// canEnter reports whether a process in no view may put a view in force.
+// canEnter reports whether this process, which is in no view, may install a view.
 func (c *Core) canEnter(view *View) bool {
 	return view.Contains(c.options.Self) && view.Lineage != 0 && view.Lineage != c.endedLineage && !c.isStale(view)
 }
 
-// isStale reports whether a view is older than one that this process has known. What it promised for the view after it is
-// forgotten, and it must never be asked for that again.
+// isStale reports whether a view is older than one that this process has known. This process may have discarded its promises for
+// the view after the stale one, so it must not take part in that decision again.
 func (c *Core) isStale(view *View) bool {
 	return view.Lineage == c.latestView.lineage && view.Number < c.latestView.number
 }
 
-// handleJoin handles a request to join.
+// handleJoin handles a request to join. A sender that is a member already has missed the view.
 func (c *Core) handleJoin(from Member) {
 	switch {
 	case c.view == nil:
@@ -91,9 +91,9 @@
 	}
 }
 
-// admitJoin records a process that wants to join. Where its name belongs to another member that is still reachable, that one
-// stays and the candidate is rejected. A process that comes back on the same address has been restarted, so its earlier
-// incarnation has ended.
+// admitJoin records a candidate, a process that requests to join. If a member at another address has the same name and is still
+// reachable, the candidate is rejected. A candidate at the address of the member of its name is a restarted process, so the
+// earlier incarnation has ended and is removed.
 func (c *Core) admitJoin(candidate Member) {
 	if i := c.view.Index(candidate.Name); i >= 0 {
 		member := c.view.Members[i]
@@ -112,8 +112,9 @@
 	c.abandonLostFleet()
 }
 
-// abandonLostFleet gives up a view of which most members have been restarted, on their addresses: no majority of it can
-// agree on anything any more, here or elsewhere. The remaining members found a fleet with the restarted ones.
+// abandonLostFleet leaves the view if this process is isolated and so many members have been restarted, on their addresses, that
+// the others are no majority. Such a view can never have a successor. The remaining members found a fleet with the restarted
+// ones.
 func (c *Core) abandonLostFleet() {
 	restarted := 0
 	for candidate := range c.joining {
@@ -132,7 +133,8 @@
 	}
 }
 
-// probeForOtherFleets asks the seeds that are not in this view, which may be in a fleet that was founded separately.
+// probeForOtherFleets requests the view from the seeds that are not in this view, as they may be in a fleet that was founded
+// separately.
 func (c *Core) probeForOtherFleets() {
 	known := map[string]bool{c.options.Self.Address: true}
 	for _, m := range c.view.Members {
@@ -145,7 +147,7 @@
 	}
 }
 
-// handleOtherFleet handles a message from a member of another fleet of this name, which was founded separately.
+// handleOtherFleet handles a message from another lineage: a fleet of this name that was founded separately.
 func (c *Core) handleOtherFleet(m *Message) {
 	switch m.Kind {
 	case ViewResponse:
@@ -159,9 +161,9 @@
 	}
 }
 
-// shouldJoinFleet reports whether the members of this fleet join the other one: the smaller fleet does, or the one with the lower
-// lineage if both have one size. So does a process that is isolated, if the other fleet has its majority: most of its own
-// fleet may have been restarted.
+// shouldJoinFleet reports whether this process leaves its fleet to join the other one. The members of the smaller fleet do, or of
+// the one with the lower lineage if both have the same size, unless only their own fleet has a quorum. An isolated process also
+// joins a fleet that has a quorum, as most of its own fleet may have been restarted.
 func (c *Core) shouldJoinFleet(other *View, otherHasQuorum bool) bool {
 	if other.Lineage == c.view.Lineage {
 		return false
@@ -174,7 +176,7 @@
 	return c.IsIsolated() && otherHasQuorum
 }
 
-// handleView handles a whole view of this process's lineage.
+// handleView handles a whole view of the lineage that this process is in.
 func (c *Core) handleView(view *View) {
 	switch {
 	case view.Lineage != c.view.Lineage || view.Number < c.view.Number:
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -20,18 +20,18 @@
 // Options configure a Core.
 type Options struct {
 	Self              Member
-	Seeds             []string      // addresses to send join requests to
-	Bootstrap         bool          // whether this process may found a fleet alone when no member admits it
-	HeartbeatInterval time.Duration // between two heartbeats to one observer; zero means half a second
+	Seeds             []string      // addresses that join requests are sent to
+	Bootstrap         bool          // whether this process may found a fleet if no member admits it
+	HeartbeatInterval time.Duration // interval between heartbeats; zero means defaultHeartbeatInterval
 	Rand              *rand.Rand
 }
 
-// defaultHeartbeatInterval makes a failure known in under three seconds.
+// defaultHeartbeatInterval lets members detect a failure in under 3 s.
 const defaultHeartbeatInterval = 500 * time.Millisecond
 
 // Envelope is a message with its recipient.
 type Envelope struct {
-	To      Member // of a seed, only the address is known
+	To      Member // only the address is set if the recipient is a seed
 	Message *Message
 }
 
@@ -43,55 +43,55 @@
 	options Options
 
 	now       time.Duration
-	startedAt time.Duration // when this process began to look for a view
+	startedAt time.Duration // when this process last began to look for a view
 	lastTick  time.Duration
 
 	// Results that Ready has not returned yet.
 	outgoing []Envelope
 	changes  []Change
 
-	// The view in force, and what follows from it.
-	view         *View // nil: this process is in none
+	// The view in force, and state derived from it.
+	view         *View // nil if this process is in no view
 	viewHash     uint64
 	viewSince    time.Duration
-	previousView *View                    // nil unless this process was in it
-	observers    [][]int                  // of each member, by index in the view
-	subjects     []int                    // the members that this process observes
-	links        []*peerLink              // by index in the view; nil for this process
-	collectors   []int                    // members that collect suspicion reports, in order of preference
-	latestView   viewID                   // the newest view known, also after this process has left it
+	previousView *View                    // the view before it; nil if this process was not in that one
+	observers    [][]int                  // the observers of each member; both are indices in the view
+	subjects     []int                    // the members that this process observes, by index in the view
+	links        []*peerLink              // to each member, by index in the view; nil for this process
+	collectors   []int                    // members that collect suspicion reports, by index in the view, in order of preference
+	latestView   viewID                   // the newest view known, kept after this process has left it
 	endedLineage uint64                   // a lineage that has ended; members that have not noticed may still announce its view
 	wasMember    bool                     // whether this process has been in a view
 	leaving      bool                     // whether Leave was called
-	nameTaken    bool                     // whether another process has this one's name
-	unjoined     map[string]time.Duration // processes in no view, by name, and until when they count
+	nameTaken    bool                     // whether a member of the fleet has the name of this process
+	unjoined     map[string]time.Duration // other processes in no view, by name, with the time when each entry expires
 
 	// Heartbeats, and whether a majority is reachable.
 	heartbeatSeq         uint64
 	lastHeartbeat        time.Duration
-	lastViewRequest      time.Duration // or join request
-	lastMergeProbe       time.Duration // of seeds that may be in another fleet of this name
+	lastViewRequest      time.Duration // last request for a view or to join
+	lastMergeProbe       time.Duration // last probe for another fleet of this name
 	suspicionPausedUntil time.Duration
-	majorityReached      bool          // in this view, since the last pause
+	majorityReached      bool          // whether a majority was reachable at some time since this process joined or was paused
 	noMajoritySince      time.Duration // zero while a majority is reachable
 
 	// Majority grants, which replace direct heartbeats from a majority in a large fleet.
-	majorityGrantedAt   time.Duration            // when a majority was alive, according to a collector
-	currentCollector    int                      // the index of the collector that is asked first
-	collectorAnsweredAt time.Duration            // when it answered last, or was first asked
-	renewals            map[string]time.Duration // at a collector: when each member asked last
-	majorityCountedAt   time.Duration
-	majorityRenewedAt   time.Duration // as counted at majorityCountedAt
+	majorityGrantedAt   time.Duration            // when a majority was last known to be alive, according to a collector
+	currentCollector    int                      // position in collectors of the collector that is asked first
+	collectorAnsweredAt time.Duration            // when that collector last answered, or was chosen
+	renewals            map[string]time.Duration // at a collector: when each member last requested a grant, by name
+	majorityCountedAt   time.Duration            // when majorityRenewedAt was computed
+	majorityRenewedAt   time.Duration            // since this time a majority has requested grants; zero: no majority has
 
 	// The next view.
-	joining            map[Member]time.Duration    // candidates, and until when they count
-	departing          map[Member]time.Duration    // members that leave, likewise
-	reports            map[string]*suspicionReport // at a collector, by observer
-	changePendingSince time.Duration               // zero: no change is pending
+	joining            map[Member]time.Duration    // candidates, with the time when each request expires
+	departing          map[Member]time.Duration    // leaving members, with the time when each announcement expires
+	reports            map[string]*suspicionReport // at a collector: the last report of each observer, by name
+	changePendingSince time.Duration               // zero if no change is pending
 	accepted           acceptor
 	proposal           proposer
 
-	departed       map[string]Departed // by name
+	departed       map[string]Departed // members that have left or were removed, by name
 	reportedStates map[string]State    // by name, as last returned by Ready
 }
 
@@ -122,10 +122,11 @@
 // View returns the view in force, or nil if this process is in none. The view must not be modified.
 func (c *Core) View() *View { return c.view }
 
-// IsNameTaken reports whether another process has this one's name. This process has to end then.
+// IsNameTaken reports whether a member of the fleet has the name of this process. If so, this process does not join, and should be
+// stopped.
 func (c *Core) IsNameTaken() bool { return c.nameTaken }
 
-// Leave announces that this process is leaving the fleet.
+// Leave announces to the collectors and the observers that this process is leaving the fleet.
 func (c *Core) Leave(now time.Duration) {
 	c.now = now
 	c.leaving = true
@@ -139,7 +140,7 @@
 	c.sendHeartbeats()
 }
 
-// Tick advances the clock. The host calls it every TickInterval.
+// Tick advances the clock and does all periodic work. The host calls it once per TickInterval.
 func (c *Core) Tick(now time.Duration) {
 	if c.startedAt == 0 {
 		c.startedAt, c.lastTick = now, now
@@ -165,15 +166,16 @@
 	}
 	c.probeSubjects()
 	c.proposeDueChange()
-	if c.view == nil { // the change was decided at once, and this process has left
+	if c.view == nil { // the change was decided within the call, and this process has left
 		return
 	}
 	c.retryProposal()
-	if heartbeatDue || len(c.view.Members) <= fullMeshMembers { // it examines every member
+	if heartbeatDue || len(c.view.Members) <= fullMeshMembers { // reportStates examines every member, so large fleets call it less often
 		c.reportStates()
 	}
 }
 
+// send queues a message for the next call of Ready.
 func (c *Core) send(to Member, m *Message) {
 	m.From = c.options.Self
 	if c.view != nil {
--- a/internal/fleet/membership/observation.go
+++ b/internal/fleet/membership/observation.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// In a small fleet every member observes every other one. In a large fleet each member has one observer on each of several
-// rings, on which all members stand in an order drawn anew with each view (Rapid: Suresh and others, ATC 2018), so that the
-// observers of one member have nothing in common.
+// In a small fleet every member observes every other one. In a large fleet each member has one observer on each of ringCount
+// rings (Rapid: Suresh and others, ATC 2018). Each ring orders all members by a different hash, which changes with
+// each view, so that the observers of one member have nothing in common.
 const (
-	fullMeshMembers = 16 // members up to which all observe all
+	fullMeshMembers = 16 // largest fleet in which every member observes every other one
 	ringCount       = 6
 )
 
-// ringPosition returns the position of a member on a ring of a view.
+// ringPosition returns the hash that orders a member on a ring of a view.
 func ringPosition(view *View, name string, ring int) uint64 {
 	h := fnv.New64a()
 	var seed [24]byte
@@ -73,11 +73,11 @@
 }
 
 // watermarks returns how many observers must suspect a member for its removal (high), and how many make a change of the view
-// wait for the others (low).
+// wait for further reports (low).
 func watermarks(observers int) (low, high int) {
 	high = max(observers/2+1, 2)
 	if observers < 2 {
-		high = observers // of two members each observes the other; there is no majority without either
+		high = observers // in a fleet of two, each observes the other; a majority needs both
 	}
 	return max(high/2, 1), high
 }
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// Probes work as in SWIM (Das, Gupta and Motivala, DSN 2002): a member that is late is pinged directly, and through others.
+// Probes work as in SWIM (Das, Gupta and Motivala, DSN 2002): a member whose messages are late is pinged directly, and through
+// other members.
 const (
-	indirectPings = 2 // through other members, with each direct one
-	minPings      = 3 // that must stay unanswered before a member is suspected
-	// falseSuspicionProbability is how likely a healthy member fails to answer all pings.
+	indirectPings = 2 // pings through other members with each direct ping
+	minPings      = 3 // lowest number of unanswered pings before a member is suspected
+	// falseSuspicionProbability is the accepted probability that all pings of a healthy member stay unanswered.
 	falseSuspicionProbability = 1e-4
-	// minRoundTripRatio bounds the ratio of pings that are assumed to be answered on a lossy network.
+	// minRoundTripRatio is the lowest ratio of answered pings that is assumed on a lossy network.
 	minRoundTripRatio = 0.02
-	// losslessRatio is the ratio of answered pings above which minPings is enough.
+	// losslessRatio is the ratio of answered pings above which minPings pings are enough.
 	losslessRatio = 0.999
 )
 
-// handleProbe handles the messages by which members test reachability.
+// handleProbe handles pings, their answers and requests for them. It ignores messages of other kinds.
 func (c *Core) handleProbe(m *Message) {
 	switch m.Kind {
 	case Ping:
@@ -30,7 +31,7 @@
 	}
 }
 
-// indexOf returns the index of exactly this member in the view, or -1.
+// indexOf returns the index of exactly this member, with address and incarnation, in the view, or -1.
 func (c *Core) indexOf(m Member) int {
 	i := c.view.Index(m.Name)
 	if i < 0 || c.view.Members[i] != m {
@@ -39,15 +40,15 @@
 	return i
 }
 
-// handleAck relays an answer to the member that had requested the ping. An answer to this process's own ping is recorded like
-// any message.
+// handleAck relays an answer to the member that requested the ping. An answer to this process's own ping needs no more than
+// recordMessage, which has been called for it.
 func (c *Core) handleAck(m *Message) {
 	if c.indexOf(m.Target) >= 0 && m.Target != c.options.Self {
 		c.send(m.Target, &Message{Kind: IndirectAck, Seq: m.Seq, Target: m.From})
 	}
 }
 
-// handleIndirectAck records that a member is alive though its messages do not arrive directly.
+// handleIndirectAck records that a member has answered a ping through another member.
 func (c *Core) handleIndirectAck(m *Message) {
 	i := c.indexOf(m.Target)
 	if i < 0 || c.isSelf(i) {
@@ -59,13 +60,13 @@
 	link.suspectedSince = 0
 }
 
-// probeSubjects pings the subjects that are late, and suspects those that answer nothing.
+// probeSubjects pings the subjects whose messages are late, and suspects those that answer no ping.
 func (c *Core) probeSubjects() {
 	loss := c.meanLossRatio()
 	for _, i := range c.subjects {
 		link := c.links[i]
-		quiet := c.now - link.reachableAt
-		if quiet < c.heartbeats(pingAfter)+c.largeFleetAllowance() {
+		sinceReachable := c.now - link.reachableAt
+		if sinceReachable < c.heartbeats(pingAfter)+c.largeFleetAllowance() {
 			link.unansweredPings = 0
 			continue
 		}
@@ -75,7 +76,7 @@
 		case c.isSuspicionPaused():
 			link.suspectedSince = 0
 		case link.suspectedSince > 0:
-		case quiet >= c.heartbeats(suspectAfter)+c.largeFleetAllowance() && link.unansweredPings >= requiredPings(loss):
+		case sinceReachable >= c.heartbeats(suspectAfter)+c.largeFleetAllowance() && link.unansweredPings >= requiredPings(loss):
 			link.suspectedSince = c.now
 		}
 	}
@@ -93,8 +94,8 @@
 	}
 }
 
-// requiredPings returns how many pings must stay unanswered before a member is suspected, on a network with this loss ratio
-// in each direction.
+// requiredPings returns how many pings must stay unanswered before a member is suspected, on a network with this loss ratio in
+// each direction.
 func requiredPings(loss float64) int {
 	answered := (1 - loss) * (1 - loss)
 	if answered > losslessRatio {
@@ -104,7 +105,8 @@
 	return max(minPings, int(math.Ceil(math.Log(falseSuspicionProbability)/math.Log(unanswered))))
 }
 
-// meanLossRatio returns the mean loss ratio of the subjects that are reachable. The loss of one member may be its own fault.
+// meanLossRatio returns the mean loss ratio of the reachable subjects. The loss ratio of a single subject may be caused by that
+// subject alone.
 func (c *Core) meanLossRatio() float64 {
 	sum, n := 0.0, 0
 	for _, i := range c.subjects {
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// DiagnosisKind is a kind of network fault. The values are shown to operators.
+// DiagnosisKind is a kind of network fault. The values are part of the status that operators see, and of metrics.
 type DiagnosisKind string
 
 // The kinds of diagnoses.
 const (
-	DiagnosisReceivesNothing DiagnosisKind = "deaf"    // a member reaches hardly anybody, but is reached
-	DiagnosisSendsNothing    DiagnosisKind = "mute"    // a member is not reached, but reaches others
-	DiagnosisUnreachable     DiagnosisKind = "gone"    // a member is not reached, and reports nothing, or reaches nobody
-	DiagnosisPair            DiagnosisKind = "pair"    // two members do not reach each other
-	DiagnosisOneWay          DiagnosisKind = "one way" // the first member does not reach the second
+	DiagnosisReceivesNothing DiagnosisKind = "deaf"    // a member receives messages from half of the others at most, but they receive its messages
+	DiagnosisSendsNothing    DiagnosisKind = "mute"    // most members receive nothing from a member that receives their messages
+	DiagnosisUnreachable     DiagnosisKind = "gone"    // most members receive nothing from a member that has no current row, or receives nothing either
+	DiagnosisPair            DiagnosisKind = "pair"    // two members receive nothing from each other
+	DiagnosisOneWay          DiagnosisKind = "one way" // the first member receives nothing from the second, but not the reverse
 	DiagnosisPartition       DiagnosisKind = "part"    // several members are cut off together
 )
 
-// Diagnosis names a fault of the network between members.
+// Diagnosis is a fault of the network between members.
 type Diagnosis struct {
 	Kind    DiagnosisKind `json:"kind"`
-	Members []string      `json:"who"` // OneWay: who does not receive, and whom; Partition: all of the smaller part
+	Members []string      `json:"who"` // DiagnosisOneWay: the one that receives nothing, then the other; DiagnosisPartition: all members on the smaller side
 }
 
-// Reachability returns the members that each member does not reach, by the rows received, and what that is diagnosed as.
-// This process may know nothing of a member that does not reach it. Large fleets are not diagnosed.
+// Reachability returns the names of the members that each member receives no messages from, and the diagnoses that follow. A member
+// without a current row is left out: this process may not receive its messages. Large fleets get no diagnoses.
 func (c *Core) Reachability() (rows map[string][]string, diagnoses []Diagnosis) {
 	if c.view == nil {
 		return nil, nil
@@ -40,13 +40,14 @@
 	return rows, m.diagnose()
 }
 
-// reachabilityMatrix is who does not reach whom, by index in the view.
+// reachabilityMatrix holds which member receives no messages from which other one, by index in the view.
 type reachabilityMatrix struct {
 	names    []string
-	reported []bool   // whether a current row of a member is known
+	reported []bool   // whether this process has a current row of the member
 	missing  [][]bool // missing[a][b]: a receives nothing from b
 }
 
+// reachabilityMatrix builds the matrix from this process's own observations and the current rows of the other members.
 func (c *Core) reachabilityMatrix() *reachabilityMatrix {
 	n := len(c.view.Members)
 	m := &reachabilityMatrix{reported: make([]bool, n), missing: make([][]bool, n)}
@@ -71,6 +72,7 @@
 	return m
 }
 
+// unreachableNames returns the names of the members that member i receives no messages from.
 func (m *reachabilityMatrix) unreachableNames(i int) []string {
 	row := []string{}
 	for j, isMissing := range m.missing[i] {
@@ -81,7 +83,7 @@
 	return row
 }
 
-// diagnose names the fault of single members first, and then the faults of pairs that those do not explain.
+// diagnose returns the faults of single members first, and then the faults of pairs in which neither member has such a fault.
 func (m *reachabilityMatrix) diagnose() []Diagnosis {
 	var diagnoses []Diagnosis
 	explained := make([]bool, len(m.names))
@@ -93,7 +95,7 @@
 			diagnoses = append(diagnoses, Diagnosis{kind, []string{name}})
 		}
 	}
-	if len(faulty) > 1 { // several members that none of the others reaches are one partition
+	if len(faulty) > 1 { // several unreachable members without other faults are one partition
 		diagnoses = slices.DeleteFunc(diagnoses, func(d Diagnosis) bool { return d.Kind == DiagnosisUnreachable })
 		if len(diagnoses) == 0 {
 			diagnoses = append(diagnoses, Diagnosis{DiagnosisPartition, faulty})
@@ -102,7 +104,7 @@
 	return append(diagnoses, m.diagnosePairs(explained)...)
 }
 
-// diagnoseMember returns the fault of one member that most others are affected by.
+// diagnoseMember returns the fault of one member that affects its connections to most others, if there is one.
 func (m *reachabilityMatrix) diagnoseMember(i int) (kind DiagnosisKind, found bool) {
 	doesNotReceive, isNotReceived, reporters := 0, 0, 0
 	for j := range m.names {
@@ -132,7 +134,7 @@
 	return "", false
 }
 
-// diagnosePairs returns the faults between two members each.
+// diagnosePairs returns the faults between two members that other diagnoses do not explain.
 func (m *reachabilityMatrix) diagnosePairs(explained []bool) []Diagnosis {
 	var diagnoses []Diagnosis
 	for a := range m.names {
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Receive handles a message that has passed Check.
+// Receive handles a message that has passed Check. Messages from this process itself are ignored.
 func (c *Core) Receive(now time.Duration, m *Message) {
 	c.now = max(now, c.now)
 	if m.From.Name == c.options.Self.Name && m.From.Incarnation == c.options.Self.Incarnation {
@@ -21,7 +21,7 @@
 	case m.Kind == ViewResponse:
 		c.handleView(m.View)
 	case m.ViewNumber > c.view.Number && m.Kind != Decided:
-		c.handleProbe(m) // a probe is answered in any view
+		c.handleProbe(m) // probes are answered whatever the sender's view is
 		c.requestView()
 	case m.ViewNumber < c.view.Number:
 		c.handleOlderView(m)
@@ -34,7 +34,7 @@
 	}
 }
 
-// handleOlderView handles a message from a member whose view is older than this process's.
+// handleOlderView handles a message from a process whose view is older than the view in force here, and sends it that view.
 func (c *Core) handleOlderView(m *Message) {
 	switch m.Kind {
 	case Heartbeat, ViewRequest, Report, Promise, Accepted:
@@ -43,7 +43,7 @@
 	c.handleProbe(m)
 }
 
-// handleCurrentView handles a message from a member of this process's view.
+// handleCurrentView handles a message that a member has sent in the view in force.
 func (c *Core) handleCurrentView(m *Message) {
 	switch m.Kind {
 	case Heartbeat:
@@ -71,7 +71,7 @@
 	}
 }
 
-// isCurrentMember reports whether exactly this process, by incarnation, is in the view.
+// isCurrentMember reports whether exactly this process, by name and incarnation, is in the view in force.
 func (c *Core) isCurrentMember(m Member) bool { return c.view.Contains(m) }
 
 // sendView sends the whole view in force.
@@ -79,7 +79,7 @@
 	c.send(to, &Message{Kind: ViewResponse, View: c.view, Affirmed: c.HasQuorum()})
 }
 
-// requestView asks some members for the view in force.
+// requestView requests the view in force from up to maxViewRequests random members, at most once per half a requestInterval.
 func (c *Core) requestView() {
 	if c.now-c.lastViewRequest < c.heartbeats(requestInterval)/2 && c.lastViewRequest > 0 {
 		return
@@ -93,5 +93,5 @@
 	}
 }
 
-// maxViewRequests is how many members are asked for the view at once.
+// maxViewRequests is the largest number of members that requestView asks at once.
 const maxViewRequests = 3
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// State is what a process believes of a member.
+// State is the state of a member, as a process sees it.
 type State uint8
 
-// The states. Isolated is a process's belief of itself only: it reaches no majority, or is reached by none.
+// The states. Only this process itself can be Isolated: it does not exchange messages with a majority.
 const (
 	Alive State = iota
 	Suspect
-	ReportsIsolation // it reports that it is isolated
-	Unreachable      // no member of this part reaches it, and it has not been removed yet
+	ReportsIsolation // the member reports that it is isolated
+	Unreachable      // this process suspects it, and a majority receives nothing from it; not yet removed
 	Isolated
 	Dead
 	Left
@@ -26,34 +26,34 @@
 
 // Change is an event that Ready returns. Exactly one of View, Removed, NameTaken, Violation and Member is set.
 type Change struct {
-	View            *View  // in force from now on
-	Removed         bool   // this process is in no view any more
-	Reason          string // of Removed
-	Member          Member // whose state has changed
-	State           State
-	UnreachableFrom []string // Suspect, Unreachable: the members that do not reach it, as far as is known here
-	NameTaken       bool     // another process has this one's name
-	Violation       string   // of an invariant
+	View            *View    // installed, and in force from now on
+	Removed         bool     // this process has left its view
+	Reason          string   // why, if Removed is set
+	Member          Member   // the member whose state has changed
+	State           State    // the new state of Member
+	UnreachableFrom []string // the members that receive no messages from Member, as far as this process knows
+	NameTaken       bool     // a member of the fleet has the name of this process
+	Violation       string   // the invariant that was violated
 }
 
-// Departed is a member that is in no view any more.
+// Departed is a former member that has left or was removed.
 type Departed struct {
 	Member     Member
-	At         time.Duration
-	Left       bool   // it had announced its departure
-	ViewNumber uint64 // of the first view without it
+	At         time.Duration // when this process installed the first view without it
+	Left       bool          // whether it had announced its departure
+	ViewNumber uint64        // number of the first view without it
 }
 
-// Status is what a process believes of a member, and why.
+// Status is the status of one member, as a process sees it.
 type Status struct {
 	Member           Member
 	State            State
-	UnreachableFrom  []string // the members that do not reach it, by their own reports
-	SinceLastMessage time.Duration
-	LossRatio        float64 // of its heartbeats
+	UnreachableFrom  []string      // the members that receive no messages from it, by their own reports
+	SinceLastMessage time.Duration // of a departed member: since its departure
+	LossRatio        float64       // smoothed ratio of its heartbeats that are lost
 }
 
-// Status returns the status of all members and of those that have departed lately, by name.
+// Status returns the status of all members and of those that departed less than departedTTL ago, ordered by name.
 func (c *Core) Status() []Status {
 	if c.view == nil {
 		return nil
@@ -78,6 +78,7 @@
 	return all
 }
 
+// memberStatus returns the status of the member at an index.
 func (c *Core) memberStatus(i int, unreachableFrom []string) Status {
 	status := Status{Member: c.view.Members[i], UnreachableFrom: unreachableFrom}
 	link := c.links[i]
@@ -110,8 +111,8 @@
 	}
 }
 
-// unreachableFrom returns for each member, by index, the names of the members that do not reach it: by their last rows, and
-// this process by what it observes.
+// unreachableFrom returns for each member, by index, the names of the members that receive no messages from it. It uses the current
+// rows of the other members, and this process's own observations.
 func (c *Core) unreachableFrom() [][]string {
 	names := make([][]string, len(c.links))
 	for i, link := range c.links {
@@ -131,7 +132,8 @@
 	return names
 }
 
-// addRow adds the name of member i to those that do not reach the members of its row, which may hold one member twice.
+// addRow adds the name of member i to the lists of the members in its row. A row may hold an index twice, or one that is out of
+// range.
 func addRow(names [][]string, i int, name string, row []uint16) {
 	for _, j := range row {
 		if int(j) >= len(names) || int(j) == i {
@@ -143,7 +145,7 @@
 	}
 }
 
-// hasCurrentRow reports whether what a member does not reach is known and current.
+// hasCurrentRow reports whether the last row of a member is recent enough to be used.
 func (c *Core) hasCurrentRow(link *peerLink) bool {
 	return c.now-link.rowUpdatedAt < 2*c.reachableWindow()
 }
--- a/internal/fleet/membership/suspicion.go
+++ b/internal/fleet/membership/suspicion.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// initialCollectors is how many members collect reports at first. While no view follows, the number doubles every
-// unstableDelay, as the first ones may have failed together.
+// initialCollectors is the number of members that collect reports at first. While a change is pending, the number doubles every
+// unstableDelay, as the first collectors may have failed together.
 const initialCollectors = 5
 
-// suspicionReport is what an observer has reported to a collector last.
+// suspicionReport is the last report of an observer, at a collector.
 type suspicionReport struct {
 	receivedAt time.Duration
 	suspects   map[Member]bool
 }
 
-// activeCollectors returns the members that reports go to, by index in the view.
+// activeCollectors returns the members that reports are sent to, by index in the view, in order of preference.
 func (c *Core) activeCollectors() []int {
 	n := initialCollectors
 	if c.changePendingSince > 0 {
@@ -27,8 +27,8 @@
 	return c.collectors[:min(n, len(c.collectors))]
 }
 
-// suspects returns the members that this process suspects: those that answer nothing, and those that report that they are
-// isolated.
+// suspects returns the members that this process suspects: subjects that answer no ping, and subjects that have reported for
+// pingAfter that they are isolated.
 func (c *Core) suspects() []Member {
 	if c.isSuspicionPaused() {
 		return nil
@@ -44,8 +44,8 @@
 	return members[:min(len(members), maxReportMembers)]
 }
 
-// sendReport reports suspects, joins and departures to the collectors. It is repeated with every heartbeat: what is not
-// repeated counts no more.
+// sendReport reports suspects, joins and departures to the collectors. Reports are repeated with every heartbeat. An entry that is
+// not repeated stops counting.
 func (c *Core) sendReport() {
 	m := Message{
 		Kind:      Report,
@@ -73,7 +73,7 @@
 	}
 }
 
-// currentJoins returns the candidates to report, and forgets those whose request has expired.
+// currentJoins returns the candidates to report, and discards those whose request has expired.
 func (c *Core) currentJoins() []Member {
 	var members []Member
 	for m, until := range c.joining {
@@ -86,7 +86,7 @@
 	return members
 }
 
-// currentDepartures returns the departing members to report, and forgets those whose announcement has expired.
+// currentDepartures returns the departing members to report, and discards those whose announcement has expired.
 func (c *Core) currentDepartures() []Member {
 	var members []Member
 	for m, until := range c.departing {
@@ -99,7 +99,7 @@
 	return members
 }
 
-// handleReport records an observer's report. Suspicions count only of members that it observes.
+// handleReport records an observer's report. Suspicions of members that the sender does not observe are ignored.
 func (c *Core) handleReport(m *Message) {
 	observer := c.view.Index(m.From.Name)
 	report := &suspicionReport{receivedAt: c.now, suspects: map[Member]bool{}}
@@ -125,7 +125,7 @@
 // suspicions maps each suspected member to the observers that suspect it, by index in the view.
 type suspicions map[int][]int
 
-// currentSuspicions returns the suspicions that count.
+// currentSuspicions returns the suspicions of all reports that have not expired, without those that do not count.
 func (c *Core) currentSuspicions() suspicions {
 	found := suspicions{}
 	for name, report := range c.reports {
@@ -145,8 +145,8 @@
 	return found
 }
 
-// discardFromSuspects drops the suspicions of observers that enough others suspect themselves: such an observer may be the one
-// that is cut off.
+// discardFromSuspects drops the suspicions of an observer that enough others suspect, and that more observers suspect than the
+// member that it suspects. Such an observer may itself be the one that is cut off.
 func (c *Core) discardFromSuspects(found suspicions) {
 	for suspect, by := range found {
 		found[suspect] = slices.DeleteFunc(by, func(observer int) bool {
@@ -159,32 +159,33 @@
 	}
 }
 
-// addSuspectedObservers counts an observer that is itself suspected as suspecting those whom another one suspects: it cannot
-// report any more.
+// addSuspectedObservers counts observers that are themselves suspected, by the low watermark, as suspecting each member that
+// another observer suspects: they may be unable to report.
 func (c *Core) addSuspectedObservers(found suspicions) {
-	lost := map[int]bool{}
+	suspected := map[int]bool{}
 	for suspect, by := range found {
 		if low, _ := watermarks(len(c.observers[suspect])); len(by) >= low {
-			lost[suspect] = true
+			suspected[suspect] = true
 		}
 	}
 	for suspect := range found {
 		for _, observer := range c.observers[suspect] {
-			if lost[observer] && !slices.Contains(found[suspect], observer) {
+			if suspected[observer] && !slices.Contains(found[suspect], observer) {
 				found[suspect] = append(found[suspect], observer)
 			}
 		}
 	}
 }
 
-// proposeDueChange proposes the next view where one is due, with all members that enough observers suspect, that leave, and
-// that join. While some members are suspected by too few observers, it waits a little for the others.
+// proposeDueChange proposes the next view if a change is due. The change removes the members that enough observers suspect and
+// those that leave, and adds the candidates. It is delayed by batchDelay to combine changes, or by unstableDelay while a member is
+// suspected by too few observers.
 func (c *Core) proposeDueChange() {
 	if len(c.reports) == 0 && len(c.joining) == 0 && len(c.departing) == 0 {
 		return
 	}
-	place := slices.Index(c.activeCollectors(), c.view.Index(c.options.Self.Name))
-	if place < 0 || c.isSuspicionPaused() && !c.leaving && len(c.view.Members) > 1 {
+	position := slices.Index(c.activeCollectors(), c.view.Index(c.options.Self.Name))
+	if position < 0 || c.isSuspicionPaused() && !c.leaving && len(c.view.Members) > 1 {
 		return
 	}
 	delta, unstable := c.dueChange()
@@ -198,17 +199,17 @@
 	if unstable {
 		wait = c.heartbeats(unstableDelay)
 	}
-	// The first collector that stays a member proposes; each next one only if those before it do not.
-	wait += c.heartbeats(float64(2 * c.reachableCollectorsBefore(place, delta)))
+	// The first collector that stays a member proposes. Each further one waits longer, and proposes only if those before it do not.
+	wait += c.heartbeats(float64(2 * c.reachableCollectorsBefore(position, delta)))
 	if c.now-c.changePendingSince >= wait && !c.proposal.inProgress(c) {
 		c.startProposal(delta)
 	}
 }
 
-// reachableCollectorsBefore returns how many collectors before a place are expected to propose a change.
-func (c *Core) reachableCollectorsBefore(place int, delta *Delta) int {
+// reachableCollectorsBefore returns how many collectors before a position are expected to propose a change.
+func (c *Core) reachableCollectorsBefore(position int, delta *Delta) int {
 	count := 0
-	for _, i := range c.collectors[:place] {
+	for _, i := range c.collectors[:position] {
 		if !c.isSelf(i) && c.isReachable(c.links[i]) && !slices.Contains(delta.Remove, c.view.Members[i]) {
 			count++
 		}
@@ -216,8 +217,8 @@
 	return count
 }
 
-// dueChange returns the change that the reports ask for. It is unstable while a member is suspected by some observers, but not by
-// enough.
+// dueChange returns the change that follows from the reports. It is unstable while a member is suspected by enough observers for the
+// low watermark, but not for the high one.
 func (c *Core) dueChange() (delta *Delta, unstable bool) {
 	delta = &Delta{}
 	for suspect, by := range c.currentSuspicions() {
@@ -240,7 +241,7 @@
 	return delta, unstable
 }
 
-// addCandidates adds the processes that want to join and whose name is free after the change.
+// addCandidates adds the candidates whose names are free after the change, while the view has room for them.
 func (c *Core) addCandidates(delta *Delta) {
 	names := map[string]bool{}
 	for candidate, until := range c.joining {
--- a/internal/fleet/membership/timing.go
+++ b/internal/fleet/membership/timing.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Times in heartbeat intervals. With half a second between heartbeats, a failure is known in under three seconds.
+// Durations in heartbeat intervals. With a heartbeat interval of 500 ms, a failure is detected in under 3 s.
 const (
-	ticksPerHeartbeat  = 5   // the host calls Tick this often
-	pingAfter          = 1.5 // without a message, a subject is pinged directly and through others
-	reachableFor       = 2.5 // a message makes its sender reachable for this long
-	suspectAfter       = 3.5 // without a message, and with all pings unanswered, a subject is suspected
-	isolatedAfter      = 4.5 // without a majority, a process is isolated
+	ticksPerHeartbeat  = 5   // calls of Tick per heartbeat interval
+	pingAfter          = 1.5 // a subject is pinged, directly and through others, this long after its last message
+	reachableFor       = 2.5 // a member counts as reachable for this long after its last message
+	suspectAfter       = 3.5 // a subject is suspected this long after its last message, if all pings are unanswered
+	isolatedAfter      = 4.5 // a process without a majority is isolated after this time
 	reportTTL          = 4   // how long a report counts
-	pauseGrace         = 4   // how long nobody is suspected after a pause
-	batchDelay         = 1   // how long a change waits for others to be combined with it
-	unstableDelay      = 6   // the longest wait for members that only some of the required observers suspect
-	proposalTimeout    = 3   // a proposal that is not decided by then is started again
-	requestInterval    = 2   // between two requests to join, or for a view
-	bootstrapDelay     = 8   // without an answer, before a process founds a fleet
+	pauseGrace         = 4   // how long a process suspects no member after a pause
+	batchDelay         = 1   // how long a change waits for others, so that one view combines them
+	unstableDelay      = 6   // how long a change waits while a member is suspected by too few observers
+	proposalTimeout    = 3   // a proposal that is not decided in this time is started again
+	requestInterval    = 2   // between two requests to join or for a view
+	bootstrapDelay     = 8   // how long a process requests to join before it founds a fleet
 	mergeProbeInterval = 10  // between two probes for another fleet of this name
 	quotaHold          = 3   // how long a lost member's quota is reserved after the view without it
 	departedTTL        = 600 // how long a departed member is listed
@@ -32,8 +32,8 @@
 	return time.Duration(n * float64(c.options.HeartbeatInterval))
 }
 
-// largeFleetAllowance returns how much longer everything takes in a large fleet, where members send heartbeats half as often to
-// bound their traffic.
+// largeFleetAllowance returns by how much the failure detector's time limits are longer in a large fleet, where members send
+// heartbeats half as often to bound their traffic.
 func (c *Core) largeFleetAllowance() time.Duration {
 	if len(c.view.Members) > fullMeshMembers {
 		return c.options.HeartbeatInterval
@@ -41,13 +41,13 @@
 	return 0
 }
 
-// reachableWindow returns how long a message makes its sender reachable.
+// reachableWindow returns how long a member counts as reachable after its last message.
 func (c *Core) reachableWindow() time.Duration {
 	return c.heartbeats(reachableFor) + c.largeFleetAllowance()
 }
 
-// compensateDelay discounts the time for which this process was paused or had no CPU: what it did not receive meanwhile says
-// nothing about other members.
+// compensateDelay moves recorded times forward by the time for which this process was paused or had no CPU. The messages that it
+// did not receive in that time tell nothing about the other members.
 func (c *Core) compensateDelay() {
 	delay := c.now - c.lastTick - c.TickInterval()
 	if delay < c.TickInterval()*2 {
@@ -61,7 +61,7 @@
 	if delay < c.options.HeartbeatInterval*2 {
 		return
 	}
-	// After a pause, the others may have moved on to another view.
+	// The other members may have installed another view during the pause.
 	c.suspicionPausedUntil = c.now + c.heartbeats(pauseGrace)
 	c.majorityReached, c.majorityGrantedAt = false, 0
 	clear(c.reports)
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -18,8 +18,8 @@
 // View is the list of members that are in the fleet, ordered by name. The views of one lineage are numbered without a gap, and
 // two of one number never differ.
 type View struct {
-	Lineage uint64 // drawn at random where the first view was founded
-	Number  uint64 // from 1
+	Lineage uint64 // random number drawn by the process that founded the first view
+	Number  uint64 // counts from 1
 	Members []Member
 }
 
@@ -36,7 +36,7 @@
 	return slices.ContainsFunc(d.Add, func(added Member) bool { return added.Name == m.Name && added.Address == m.Address })
 }
 
-// Hash returns a hash of all that a view holds.
+// Hash returns a hash of the lineage, the number and the members.
 func (v *View) Hash() uint64 {
 	h := fnv.New64a()
 	var buffer [8]byte
@@ -55,7 +55,7 @@
 	return h.Sum64()
 }
 
-// Index returns the index of the member with a name, or -1.
+// Index returns the index of the member with this name, or -1 if there is none.
 func (v *View) Index(name string) int {
 	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 	if !ok {
@@ -70,17 +70,17 @@
 	return i >= 0 && v.Members[i].Incarnation == m.Incarnation
 }
 
-// Majority returns how many members are a majority.
+// Majority returns the smallest number of members that is a majority.
 func (v *View) Majority() int { return len(v.Members)/2 + 1 }
 
-// Apply returns the view after a change. It fails if the change removes a member that is not in the view, or would put one
-// name in it twice.
+// Apply returns the next view, to which a change leads. It fails if the change removes a member that is not in the view, or if
+// two members of the next view would have the same name.
 func (v *View) Apply(d *Delta) (*View, error) {
 	next := &View{Lineage: v.Lineage, Number: v.Number + 1}
 	removed := map[Member]bool{}
 	for _, m := range d.Remove {
 		if i := v.Index(m.Name); i < 0 || v.Members[i] != m {
-			return nil, fmt.Errorf("membership: %s is not in view %d", m.Name, v.Number)
+			return nil, fmt.Errorf("membership: cannot remove %s, which is not in view %d", m.Name, v.Number)
 		}
 		removed[m] = true
 	}
@@ -93,7 +93,7 @@
 	slices.SortFunc(next.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	for i := 1; i < len(next.Members); i++ {
 		if next.Members[i].Name == next.Members[i-1].Name {
-			return nil, fmt.Errorf("membership: %s would be in view %d twice", next.Members[i].Name, next.Number)
+			return nil, fmt.Errorf("membership: two members named %s would be in view %d", next.Members[i].Name, next.Number)
 		}
 	}
 	return next, nil
