--- a/internal/fleet/membership/consensus.go
+++ b/internal/fleet/membership/consensus.go
@@ -24,7 +24,7 @@
 	decided     bool
 }
 
-// inProgress reports whether a proposal waits for its decision. It does so for proposalTimeout at most.
+// inProgress reports whether a proposal is undecided and was started less than proposalTimeout ago.
 func (p *proposer) inProgress(c *Core) bool {
 	return p.promises != nil && !p.decided && c.now-p.startedAt < c.heartbeats(proposalTimeout)
 }
@@ -143,8 +143,8 @@
 }
 
 // canAgreeTo reports whether this process agrees to the removals of a change. It does not agree if it has lately reached a removed
-// member, directly or through others, that neither leaves, reports isolation nor is replaced. It agrees to its own removal only
-// while it is leaving or isolated.
+// member, directly or through others, that is not leaving, does not report isolation and is not replaced. It agrees to its own
+// removal only while it is leaving or isolated.
 func (c *Core) canAgreeTo(delta *Delta) bool {
 	for _, member := range delta.Remove {
 		if member == c.options.Self {
--- a/internal/fleet/membership/install.go
+++ b/internal/fleet/membership/install.go
@@ -1,6 +1,6 @@
 package membership
 
-// installView puts a view in force, and resets all state that belongs to the previous view.
+// installView puts a view in force, and resets the state that depends on the view.
 func (c *Core) installView(view *View) {
 	previous := c.view
 	c.previousView, c.view = previous, view
@@ -57,7 +57,8 @@
 	return link
 }
 
-// recordDepartures records the members of the previous view that are not in this one, and discards entries that the view settles.
+// recordDepartures records the members of the previous view that are not in this one, and discards the joins
+// and departures that this view completes.
 func (c *Core) recordDepartures(previous, view *View) {
 	if previous != nil {
 		for _, m := range previous.Members {
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -79,7 +79,7 @@
 	return view.Lineage == c.latestView.lineage && view.Number < c.latestView.number
 }
 
-// handleJoin handles a request to join. A sender that is a member already has missed the view.
+// handleJoin handles a request to join. A sender that is a member already has missed the view, and is sent it again.
 func (c *Core) handleJoin(from Member) {
 	switch {
 	case c.view == nil:
@@ -113,7 +113,7 @@
 }
 
 // abandonLostFleet leaves the view if this process is isolated and so many members have been restarted, on their addresses, that
-// the others are no majority. Such a view can never have a successor. The remaining members found a fleet with the restarted
+// the others are not a majority. Such a view can never have a successor. The remaining members found a fleet with the restarted
 // ones.
 func (c *Core) abandonLostFleet() {
 	restarted := 0
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -58,9 +58,9 @@
 
 	Isolated    bool              // Heartbeat: the sender is isolated
 	Leaving     bool              // Heartbeat: the sender is leaving
-	Unreachable []uint16          // Heartbeat: members that the sender receives no messages from, by index in the view; at most maxUnreachable
+	Unreachable []uint16          // Heartbeat: members that the sender receives nothing from, by index in the view
 	Rows        []ReachabilityRow // Heartbeat in a small fleet: the latest rows of the other members, by index in the view
-	Target      Member            // PingRequest: the member to ping; IndirectAck: the member that answered; Ping, Ack: the member that sent the PingRequest, if any
+	Target      Member            // PingRequest: to be pinged; IndirectAck: has answered; Ping, Ack: sender of the PingRequest, if any
 	Suspects    []Member          // Report
 	Joining     []Member          // Report
 	Departing   []Member          // Report
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -7,18 +7,20 @@
 
 // The kinds of diagnoses.
 const (
-	DiagnosisReceivesNothing DiagnosisKind = "deaf"    // a member receives messages from half of the others at most, but they receive its messages
-	DiagnosisSendsNothing    DiagnosisKind = "mute"    // most members receive nothing from a member that receives their messages
-	DiagnosisUnreachable     DiagnosisKind = "gone"    // most members receive nothing from a member that has no current row, or receives nothing either
+	DiagnosisReceivesNothing DiagnosisKind = "deaf"    // a member receives nothing from most others, which receive its messages
+	DiagnosisSendsNothing    DiagnosisKind = "mute"    // most others receive nothing from a member that receives their messages
+	DiagnosisUnreachable     DiagnosisKind = "gone"    // like "mute", but the member receives nothing either, or has no current row
 	DiagnosisPair            DiagnosisKind = "pair"    // two members receive nothing from each other
-	DiagnosisOneWay          DiagnosisKind = "one way" // the first member receives nothing from the second, but not the reverse
+	DiagnosisOneWay          DiagnosisKind = "one way" // the first member receives nothing from the second, which receives its messages
 	DiagnosisPartition       DiagnosisKind = "part"    // several members are cut off together
 )
 
 // Diagnosis is a fault of the network between members.
 type Diagnosis struct {
-	Kind    DiagnosisKind `json:"kind"`
-	Members []string      `json:"who"` // DiagnosisOneWay: the one that receives nothing, then the other; DiagnosisPartition: all members on the smaller side
+	Kind DiagnosisKind `json:"kind"`
+	// Members are the affected members. DiagnosisOneWay: the one that receives nothing, then the other. DiagnosisPartition: all
+	// that are cut off.
+	Members []string `json:"who"`
 }
 
 // Reachability returns the names of the members that each member receives no messages from, and the diagnoses that follow. A member
--- a/internal/fleet/membership/search_test.go
+++ b/internal/fleet/membership/search_test.go
@@ -155,7 +155,7 @@
 	if state.retries < 1 {
 		next = append(next, step{"again", 0})
 	}
-	s.rng.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] }) // a search that ends at maxStates then does not cover one region alone
+	s.rng.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] }) // so that maxStates does not limit the search to one region
 	for _, following := range next {
 		s.explore(append(slices.Clone(path), following))
 	}
