--- a/lbpolicy/attempt.go
+++ b/lbpolicy/attempt.go
@@ -18,7 +18,7 @@
 	b.requests[q.ID] = r
 	level := b.levelOf(q)
 	b.levelArrivals[level]++
-	if b.dropFraction > 0 && b.isDropped(level) {
+	if b.dropFraction > 0 && b.drawDrop(level) {
 		b.reject(now, r, 1+b.cursor)
 		return
 	}
@@ -51,13 +51,13 @@
 	}
 	b.lastArrival = now
 	if !q.Retry {
-		b.arrivedInPeriod++
+		b.arrivalsInPeriod++
 	}
 }
 
-// isDropped draws whether a request is in the fraction to drop: all of the lowest level, then the next one.
+// drawDrop draws whether a request is in the fraction to drop: all of the lowest level, then the next one.
 // While no rate is known, all levels are alike.
-func (b *Balancer) isDropped(level int) bool {
+func (b *Balancer) drawDrop(level int) bool {
 	total, below := 0.0, 0.0
 	for i, rate := range b.levelRates {
 		total += rate
@@ -75,7 +75,7 @@
 // scheduleCheck sets the time at which a request's latest attempt is checked.
 func (b *Balancer) scheduleCheck(now time.Duration, r *request) {
 	left := (r.deadline - now).Seconds()
-	if r.class.Effect == NonIdempotent || b.isExhausted(r) || left < b.baseLatency/2 {
+	if r.class.Effect == NonIdempotent || b.hasUsedAllAttempts(r) || left < b.baseLatency/2 {
 		return
 	}
 	wait := min(unresponsiveMultiple*b.usualLatency(), left/2)
@@ -83,14 +83,14 @@
 	b.host.SetTimer(r.checkAt, uint64(r.id))
 }
 
-// isExhausted reports whether a request has had all its attempts.
-func (b *Balancer) isExhausted(r *request) bool {
+// hasUsedAllAttempts reports whether a request has had all its attempts.
+func (b *Balancer) hasUsedAllAttempts(r *request) bool {
 	return len(r.attempts) >= r.maxAttempts || len(r.attempts) >= b.settings.MaxAttempts
 }
 
 // maySend applies rules 1 to 3 to one more attempt.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
-	if r.done || now >= r.deadline || b.isExhausted(r) || !s.isEligible() {
+	if r.done || now >= r.deadline || b.hasUsedAllAttempts(r) || !s.isEligible() {
 		return false
 	}
 	if !r.keyState.allows(now, r.class.Scope, s) {
@@ -146,13 +146,13 @@
 	r.attempts = append(r.attempts, attempt{server: s, zone: s.Zone, cell: s.Cell, sentAt: now})
 	s.accumulateWait(now)
 	if now-s.lastSentAt > b.settings.ConnIdleTimeout {
-		s.connections = 0
+		s.openConnections = 0
 	}
 	s.inFlight++
 	b.inFlight++
-	s.connections, s.lastSentAt = max(s.connections, s.inFlight), now
+	s.openConnections, s.lastSentAt = max(s.openConnections, s.inFlight), now
 	s.slowStartBudget--
-	s.firstCallDue = 0
+	s.firstRequestDue = 0
 	b.host.Send(r.id, s.ID)
 	b.scheduleCheck(now, r)
 }
@@ -243,9 +243,9 @@
 // takes a place that another balancer's request cannot have.
 func (b *Balancer) closeIdleConnections(now time.Duration, s *server) {
 	scarce := b.connectionsFullAt > 0 && now-b.connectionsFullAt < b.settings.ConnIdleTimeout
-	if scarce && b.settings.HandshakePrice == 0 && s.connections > s.inFlight {
+	if scarce && b.settings.HandshakePrice == 0 && s.openConnections > s.inFlight {
 		b.host.CloseIdle(s.ID)
-		s.connections = s.inFlight
+		s.openConnections = s.inFlight
 	}
 }
 
@@ -293,7 +293,7 @@
 	if a.ended {
 		return
 	}
-	stopped := a.server.answeredAt < a.sentAt || a.server.ejected && a.server.answeredAt < r.checkFrom
+	stopped := a.server.lastResponseAt < a.sentAt || a.server.ejected && a.server.lastResponseAt < r.checkFrom
 	if !stopped || b.shedding || b.retryBudget < 1 {
 		b.scheduleCheck(now, r)
 		return
--- a/lbpolicy/balancer.go
+++ b/lbpolicy/balancer.go
@@ -23,7 +23,7 @@
 	minThreshold            = 4.0  // added to T1: with few requests, the rates are mostly chance
 	targetUtilization       = 0.92
 	targetLatencyShare      = 0.6     // of the objective: some requests take twice the mean
-	fullAnswerWeight        = 2.0     // load added by a ratio of answers that reject as full
+	serverFullWeight        = 2.0     // load added by a ratio of answers that reject as full
 	minSubsetSize           = 6       // servers
 	balancersPerServer      = 2.0     // that know each server
 	maxRankedServers        = 20      // for one attempt in a large tier
@@ -35,8 +35,8 @@
 	expectedLatencyStep     = 0.1     // by which that time is adjusted
 	expectedLatencyMemory   = 10 * time.Second
 	minReportedUtilization  = 0.25 // below it a report says too little of a server's capacity
-	reportedCapacityTrust   = 0.9  // of a capacity that reports show
-	firstCallWindowShare    = 1.25 // of the overload window, for the first requests to a restored server
+	reportedCapacityFactor   = 0.9  // of a capacity that reports show
+	firstRequestWindowMultiple    = 1.25 // of the overload window, for the first requests to a restored server
 	warmingUpShare          = 0.45 // of the overload multiple, for the requests of all balancers
 	panicThreshold          = 0.5  // with a larger ratio of servers ejected, ejection is disregarded
 	errorPenalty            = 4.0  // ranking: how many times slower a server counts that only fails
@@ -58,12 +58,12 @@
 	utilization      float64
 	reportedAt       time.Duration
 	waited           float64 // seconds since the last answer, of all requests together
-	silent           float64 // seconds since the last answer, while there were any requests
+	unansweredSeconds           float64 // seconds since the last answer, while there were any requests
 	waitedAt         time.Duration
-	answeredAt       time.Duration
+	lastResponseAt       time.Duration
 	connFailedAt     time.Duration
 	lastSentAt       time.Duration
-	connections      int     // in use at once lately
+	openConnections      int     // in use at once lately
 	errorRatio       float64 // smoothed
 	ejected          bool
 	ejectedUntil     time.Duration
@@ -73,7 +73,7 @@
 	budgetFilledAt   time.Duration
 	manuallyEjected  bool
 	restoredAt       time.Duration // from a manual ejection: it may have started then; 0: discovery tells
-	firstCallDue     time.Duration // when a restored server gets its first request at the latest; 0: not due
+	firstRequestDue     time.Duration // when a restored server gets its first request at the latest; 0: not due
 }
 
 type attempt struct {
@@ -122,8 +122,8 @@
 	inFlight          int
 	inFlightEjected   int // with ejected servers
 	dispatchPending   int // held up by something other than the servers
-	answeredInPeriod  int
-	arrivedInPeriod   int
+	completionsInPeriod  int
+	arrivalsInPeriod   int
 	lastArrival       time.Duration
 	resumedAt         time.Duration // the first request after a start or a pause
 	arrivalRate       float64       // per second, smoothed
@@ -138,7 +138,7 @@
 	levelRates        []float64 // per second, smoothed
 
 	// Pool load.
-	answerCount   float64            // decaying
+	outcomeCount   float64            // decaying
 	latencySum    float64            // decaying, in seconds
 	fullCount     float64            // decaying
 	errorCount    float64            // decaying
@@ -149,11 +149,11 @@
 
 	servers         map[ServerID]*server
 	manuallyEjected map[ServerID]time.Duration // since when; listed or not
-	firstCallsDue   int
+	firstRequestsDue   int
 	listed          []*server // ordered by hash, which is independent of zone and age
 	subset          []*server // that this balancer uses
 	subsetSize      int
-	weighted        bool    // servers of the subset differ in weight
+	weightsDiffer        bool    // servers of the subset differ in weight
 	ejectedCount    int     // in the subset
 	totalCapacity   float64 // of the subset, in fully warmed-up servers
 	serverCapacity  float64 // requests per second of a warmed-up server, as reported; 0: not known
@@ -162,6 +162,6 @@
 	retryBudget float64
 
 	connectionsFullAt time.Duration // when a server that answers last accepted no connection
-	watching          bool
+	pollingStarted          bool
 	pollFailures      int
 }
--- a/lbpolicy/discovery.go
+++ b/lbpolicy/discovery.go
@@ -10,9 +10,9 @@
 const (
 	maxPollFailures   = 5   // after which the backoff grows no more
 	pollBackoffBase   = 0.5 // seconds
-	firstPollDivider  = 8   // of the longest interval, before the first poll
-	pollBackoffLimit  = 2   // divides the longest interval
-	pollJitterMinimum = 0.5
+	firstPollDivisor  = 8   // of the longest interval, before the first poll
+	maxPollBackoffDivisor  = 2   // divides the longest interval
+	minPollJitter = 0.5
 )
 
 // schedulePoll keeps polling discovery where it answers only when asked: after a failure with a growing
@@ -26,14 +26,14 @@
 	switch {
 	case kind == Failed:
 		b.pollFailures = min(b.pollFailures+1, maxPollFailures)
-		wait = min(pollBackoffBase*float64(int(1)<<b.pollFailures), longest/pollBackoffLimit)
-	case !b.watching:
-		wait = longest / firstPollDivider
+		wait = min(pollBackoffBase*float64(int(1)<<b.pollFailures), longest/maxPollBackoffDivisor)
+	case !b.pollingStarted:
+		wait = longest / firstPollDivisor
 	default:
 		b.pollFailures = 0
 		return
 	}
-	b.watching = true
-	jitter := pollJitterMinimum + b.random.Float64()
+	b.pollingStarted = true
+	jitter := minPollJitter + b.random.Float64()
 	b.host.SetTimer(now+duration(wait*jitter), discoveryToken)
 }
--- a/lbpolicy/endpoints.go
+++ b/lbpolicy/endpoints.go
@@ -108,7 +108,7 @@
 		b.manuallyEjected[id] = now
 	}
 	if s := b.servers[id]; s != nil {
-		s.manuallyEjected, s.firstCallDue = ejected, 0
+		s.manuallyEjected, s.firstRequestDue = ejected, 0
 		if !ejected {
 			b.restore(now, s, since)
 		}
@@ -119,9 +119,9 @@
 // restore readmits a server that was manually ejected since a time.
 func (b *Balancer) restore(now time.Duration, s *server, since time.Duration) {
 	s.reset()
-	window := firstCallWindowShare * b.random.Float64() * float64(b.settings.OverloadWindow)
-	s.firstCallDue = now + 1 + time.Duration(window)
-	b.firstCallsDue++
+	window := firstRequestWindowMultiple * b.random.Float64() * float64(b.settings.OverloadWindow)
+	s.firstRequestDue = now + 1 + time.Duration(window)
+	b.firstRequestsDue++
 	if s.StartedAt <= since {
 		s.restoredAt = now
 	}
--- a/lbpolicy/health.go
+++ b/lbpolicy/health.go
@@ -51,7 +51,7 @@
 // an answer that has arrived and was not read, and a server has its least wait from the first write on.
 func (b *Balancer) ejectIfUnresponsive(now time.Duration, s *server) {
 	usual := b.usualLatency() / max(b.capacity(now, s), minCapacity)
-	unresponsive := s.waited > unresponsiveMultiple*usual && s.silent > minUnresponsiveWait*usual
+	unresponsive := s.waited > unresponsiveMultiple*usual && s.unansweredSeconds > minUnresponsiveWait*usual
 	if !unresponsive || !s.mayEject(now) {
 		return
 	}
@@ -80,7 +80,7 @@
 // is fast and idle, which would rank it best and draw every retry to it. Errors from deeper in the chain, and
 // an overload, come from all servers alike: others is the number of them in the pool.
 func (b *Balancer) ejectIfFailing(now time.Duration, s *server, others float64, reason string) {
-	if s.errorRatio > failureRatio && s.errorRatio*b.answerCount > others && s.mayEject(now) {
+	if s.errorRatio > failureRatio && s.errorRatio*b.outcomeCount > others && s.mayEject(now) {
 		b.eject(now, s, reason)
 	}
 }
@@ -102,44 +102,44 @@
 	usual := b.usualLatency()
 	switch o.Verdict {
 	case OK, Error, ServerFull, Rejected:
-		s.answeredAt = now
+		s.lastResponseAt = now
 		s.clearWait()
 	case Timeout, Cancelled:
 		probed := s.ejected && now >= s.ejectedUntil
-		hadItsTime := o.Latency.Seconds() > usual && s.answeredAt < now-o.Latency
+		hadItsTime := o.Latency.Seconds() > usual && s.lastResponseAt < now-o.Latency
 		if probed && hadItsTime && !b.host.ServerProgress(s.ID).HasUnreadAnswer {
 			b.eject(now, s, "silent")
 		}
 	}
 	b.ejectIfUnresponsive(now, s)
-	b.recordPool(s, o, usual)
-	b.recordServer(now, s, o)
+	b.recordPoolOutcome(s, o, usual)
+	b.recordServerOutcome(now, s, o)
 	b.recordLoadReport(now, s, o.Load)
 }
 
-// recordPool updates the latency and the errors of the pool. A failure of an ejected server tells of that
+// recordPoolOutcome updates the latency and the errors of the pool. A failure of an ejected server tells of that
 // server, and not of the load of the others.
-func (b *Balancer) recordPool(s *server, o Outcome, usual float64) {
+func (b *Balancer) recordPoolOutcome(s *server, o Outcome, usual float64) {
 	latency := o.Latency.Seconds()
 	switch {
 	case s.ejected && o.Verdict != OK:
 	case o.Verdict == OK:
-		b.answeredInPeriod++
-		b.answerCount++
+		b.completionsInPeriod++
+		b.outcomeCount++
 		b.latencySum += latency
 	case o.Verdict == Error || o.Verdict == Timeout:
-		b.answeredInPeriod++
-		b.answerCount++
+		b.completionsInPeriod++
+		b.outcomeCount++
 		b.errorCount++
 		b.latencySum += max(latency, usual) // an answer would have taken longer: it does not count as fast
 	case o.Verdict == ServerFull || o.Verdict == ConnectFailed:
-		b.answerCount++
+		b.outcomeCount++
 		b.fullCount++
 	}
 }
 
-// recordServer updates the latency and the errors of a server, and ejects it if it fails.
-func (b *Balancer) recordServer(now time.Duration, s *server, o Outcome) {
+// recordServerOutcome updates the latency and the errors of a server, and ejects it if it fails.
+func (b *Balancer) recordServerOutcome(now time.Duration, s *server, o Outcome) {
 	switch o.Verdict {
 	case OK:
 		latency := o.Latency.Seconds()
@@ -169,7 +169,7 @@
 // with no answer in between. What any server loses singly (an idle connection that was closed as a request
 // was written) is no failure: its load would move to the others just as their connections break too.
 func (b *Balancer) ejectIfUnreachable(now time.Duration, s *server) bool {
-	again := s.answeredAt < s.connFailedAt
+	again := s.lastResponseAt < s.connFailedAt
 	s.connFailedAt = now
 	if again {
 		b.eject(now, s, "failing")
--- a/lbpolicy/load.go
+++ b/lbpolicy/load.go
@@ -13,14 +13,14 @@
 	minTargetMultiple   = 1.5 // of the base latency, below which the target latency does not go
 	baseLatencyDownTime = 0.5
 	baseLatencyUpTime   = 20
-	maxBaseShare        = 3 // the objective over the largest base latency
+	maxBaseLatencyDivisor        = 3 // the objective over the largest base latency
 	minBaseLatency      = 1e-4
 )
 
 // poolLoad returns the load of the pool over its target: above 1 the cursor moves right.
 func (b *Balancer) poolLoad(now time.Duration, dt float64) float64 {
 	keep := math.Exp(-dt / (smoothingShare * b.meanObjective))
-	b.answerCount *= keep
+	b.outcomeCount *= keep
 	b.latencySum *= keep
 	b.fullCount *= keep
 	b.errorCount *= keep
@@ -42,15 +42,15 @@
 // some time ago; requests in flight over answers per second is the latency of one admitted now (Little's
 // law). Both must be high.
 func (b *Balancer) latencyLoad(dt float64) float64 {
-	if b.answerCount < minSamples {
+	if b.outcomeCount < minSamples {
 		return 0
 	}
-	latency := b.latencySum / b.answerCount
+	latency := b.latencySum / b.outcomeCount
 	b.updateBaseLatency(latency, dt)
 	target := max(targetLatencyShare*b.meanObjective, minTargetMultiple*b.baseLatency)
 	span := smoothingShare * b.meanObjective // the answers counted span it
-	upcoming := float64(b.queueLength()) * span / max(b.answerCount-b.fullCount, minSamples)
-	return min(latency, upcoming)/target + fullAnswerWeight*b.fullCount/b.answerCount
+	upcoming := float64(b.queueLength()) * span / max(b.outcomeCount-b.fullCount, minSamples)
+	return min(latency, upcoming)/target + serverFullWeight*b.fullCount/b.outcomeCount
 }
 
 // reportedUtilization returns the mean utilization that the servers of the subset report.
@@ -73,7 +73,7 @@
 	case latency < b.baseLatency:
 		b.baseLatency += (latency - b.baseLatency) * smoothingWeight(dt, baseLatencyDownTime)
 	case b.cursor == 0:
-		target := min(latency, b.meanObjective/maxBaseShare)
+		target := min(latency, b.meanObjective/maxBaseLatencyDivisor)
 		b.baseLatency += (target - b.baseLatency) * smoothingWeight(dt, baseLatencyUpTime)
 	}
 	b.baseLatency = max(b.baseLatency, minBaseLatency)
@@ -81,10 +81,10 @@
 
 // usualLatency is the present latency of the pool, in seconds.
 func (b *Balancer) usualLatency() float64 {
-	if b.answerCount < minSamples {
+	if b.outcomeCount < minSamples {
 		return b.baseLatency
 	}
-	return max(b.baseLatency, b.latencySum/b.answerCount)
+	return max(b.baseLatency, b.latencySum/b.outcomeCount)
 }
 
 // expectedLatency is the time in which expectedLatencyQuantile of a class's requests are answered.
@@ -112,8 +112,8 @@
 	e.updatedAt = now
 }
 
-// forgetting is the factor by which old knowledge has faded.
-func forgetting(age time.Duration) float64 {
+// memoryDecay is the factor by which old knowledge has faded.
+func memoryDecay(age time.Duration) float64 {
 	return math.Exp(-age.Seconds() / expectedLatencyMemory.Seconds())
 }
 
@@ -122,14 +122,14 @@
 // more time. Clients that never have more time than a third of the requests take are served by chance, since
 // what is not observed is forgotten. A request that other tiers have worked on needs half of that time.
 func (b *Balancer) hasTooLittleTime(now time.Duration, r *request, left float64) bool {
-	needed := r.expected.seconds * forgetting(now-r.expected.updatedAt)
+	needed := r.expected.seconds * memoryDecay(now-r.expected.updatedAt)
 	if b.settings.Tier > 0 {
 		needed /= 2
 	}
 	floor := b.baseLatency / 2
 	if !b.baseLearned { // a guess must fade, or clients that never have more time would never be served
 		floor = min(b.baseLatency, r.class.LatencyObjective.Seconds()/4) / 2
-		floor *= forgetting(now - b.startedAt)
+		floor *= memoryDecay(now - b.startedAt)
 	}
 	return left < max(needed, floor)
 }
--- a/lbpolicy/ranking.go
+++ b/lbpolicy/ranking.go
@@ -22,8 +22,8 @@
 	if latency == 0 {
 		latency = b.usualLatency() / capacity
 	}
-	latency = max(latency, s.silent)
-	if b.weighted { // a slow server has more requests in flight, which counts already
+	latency = max(latency, s.unansweredSeconds)
+	if b.weightsDiffer { // a slow server has more requests in flight, which counts already
 		latency = 1
 	}
 	queue := float64(s.inFlight-s.dispatchPending) / (capacity * s.Weight)
@@ -31,7 +31,7 @@
 	if s.Zone != b.settings.Zone {
 		score *= 1 + crossZoneWeight*b.settings.CrossZonePrice
 	}
-	needsHandshake := s.connections <= s.inFlight || now-s.lastSentAt > b.settings.ConnIdleTimeout
+	needsHandshake := s.openConnections <= s.inFlight || now-s.lastSentAt > b.settings.ConnIdleTimeout
 	if b.settings.HandshakePrice > 0 && needsHandshake {
 		score *= 1 + handshakeWeight*b.settings.HandshakePrice
 	}
@@ -45,7 +45,7 @@
 	if n == 0 {
 		return nil
 	}
-	if b.firstCallsDue > 0 {
+	if b.firstRequestsDue > 0 {
 		if s := b.restoredServer(now, r); s != nil {
 			return s
 		}
@@ -53,14 +53,14 @@
 	start := b.random.IntN(n)
 	drawn := b.subset[start]
 	if b.maySend(now, r, drawn) {
-		if b.mayProbe(now, r, drawn) && b.hasBudget(now, drawn) || b.drawsWarmingUp(now, drawn) {
+		if b.mayProbe(now, r, drawn) && b.hasBudget(now, drawn) || b.drawWarmingUp(now, drawn) {
 			return drawn
 		}
 	}
 	if best := b.bestRanked(now, r, start); best != nil {
 		return best
 	}
-	return b.fallback(now, r)
+	return b.pickFallback(now, r)
 }
 
 // bestRanked returns the best-ranked server of the subset, or of a sample of a large one.
@@ -78,7 +78,7 @@
 			continue
 		}
 		score := b.score(now, s)
-		if b.weighted { // a weighted draw: the best alone would get all while few requests are in flight
+		if b.weightsDiffer { // a weighted draw: the best alone would get all while few requests are in flight
 			score *= b.random.ExpFloat64() / s.Weight
 		}
 		if score < bestScore {
@@ -95,9 +95,9 @@
 	return !inUse || float64(b.ejectedCount) > panicThreshold*float64(len(b.subset))
 }
 
-// fallback looks beyond the sample and the subset. Servers that are warming up come last, as any balancer may
+// pickFallback looks beyond the sample and the subset. Servers that are warming up come last, as any balancer may
 // send to them there.
-func (b *Balancer) fallback(now time.Duration, r *request) *server {
+func (b *Balancer) pickFallback(now time.Duration, r *request) *server {
 	n := len(b.listed)
 	start := b.random.IntN(n)
 	for _, warmingUp := range []bool{false, true} {
--- a/lbpolicy/report.go
+++ b/lbpolicy/report.go
@@ -27,14 +27,14 @@
 // describeSilence tells for how long a server's requests have waited.
 func describeSilence(now time.Duration, s *server, progress ServerProgress) string {
 	first := now - progress.WaitsSince
-	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.silent, s.waited, first.Seconds())
+	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.unansweredSeconds, s.waited, first.Seconds())
 }
 
 // describeHedge describes the hedge of a request, before it is sent.
 func (b *Balancer) describeHedge(now time.Duration, r *request, n int) Hedge {
 	a := &r.attempts[n]
 	reason := HedgeSilent
-	if a.server.answeredAt >= a.sentAt {
+	if a.server.lastResponseAt >= a.sentAt {
 		reason = HedgeStopped
 	}
 	return Hedge{
--- a/lbpolicy/requests.go
+++ b/lbpolicy/requests.go
@@ -110,11 +110,11 @@
 func (s *server) accumulateWait(now time.Duration) {
 	if waiting := s.inFlight - s.dispatchPending; waiting > 0 {
 		dt := (now - s.waitedAt).Seconds()
-		s.silent += dt
+		s.unansweredSeconds += dt
 		s.waited += dt * float64(waiting)
 	}
 	s.waitedAt = now
 }
 
 // clearWait is called when a server has answered, or is ejected.
-func (s *server) clearWait() { s.waited, s.silent = 0, 0 }
+func (s *server) clearWait() { s.waited, s.unansweredSeconds = 0, 0 }
--- a/lbpolicy/settings.go
+++ b/lbpolicy/settings.go
@@ -14,7 +14,7 @@
 const (
 	randomStream       = 1 // of the generator, beside the seed
 	initialRetryBudget = 3 // attempts
-	baseLatencyGuess   = 4 // the objective over the first guess of the base latency
+	initialBaseLatencyDivisor   = 4 // the objective over the first guess of the base latency
 	minPeriod          = 50 * time.Millisecond
 	maxPeriod          = time.Second
 )
@@ -64,7 +64,7 @@
 	b.settings = settings
 	b.applyClasses(old.Classes)
 	if !b.baseLearned {
-		b.baseLatency = b.meanObjective / baseLatencyGuess
+		b.baseLatency = b.meanObjective / initialBaseLatencyDivisor
 	}
 	period := duration(b.meanObjective * periodShare)
 	b.period = min(max(period, minPeriod), maxPeriod)
--- a/lbpolicy/slowstart.go
+++ b/lbpolicy/slowstart.go
@@ -19,7 +19,7 @@
 	age := (now - startTime).Seconds() / b.settings.SlowStart.Seconds()
 	least := min(1, b.settings.InitialCapacity+(1-b.settings.InitialCapacity)*max(age, 0))
 	if b.serverCapacity > 0 {
-		least = max(least, min(1, reportedCapacityTrust*s.reportedCapacity/b.serverCapacity))
+		least = max(least, min(1, reportedCapacityFactor*s.reportedCapacity/b.serverCapacity))
 	}
 	return least
 }
@@ -35,8 +35,8 @@
 	return b.hasBudgetAmong(now, s, max(1, sharers))
 }
 
-// maxBudgetWindows divides the requests of a window that can be saved up.
-const maxBudgetWindows = 4
+// slowStartBurstDivisor divides the requests of a window that can be saved up.
+const slowStartBurstDivisor = 4
 
 // hasBudgetAmong is hasBudget for any server, by how many balancers may send to it. The budget starts at a
 // random fraction, as the first requests of all balancers add up. Where saving up one request takes longer
@@ -61,7 +61,7 @@
 			s.slowStartBudget++
 		}
 	} else {
-		s.slowStartBudget = min(s.slowStartBudget, max(1, perWindow/maxBudgetWindows))
+		s.slowStartBudget = min(s.slowStartBudget, max(1, perWindow/slowStartBurstDivisor))
 	}
 	return s.slowStartBudget >= 1
 }
@@ -81,10 +81,10 @@
 		warmingUpShare*s.reportedCapacity)
 }
 
-// drawsWarmingUp draws whether a server in slow start gets the request for which an even draw over the subset
+// drawWarmingUp draws whether a server in slow start gets the request for which an even draw over the subset
 // found it: its part of the traffic compared with a warmed-up server's is its capacity. So a balancer with
 // idle warmed-up servers gets to know it; where they are busy, the ranking sends it more, within its budget.
-func (b *Balancer) drawsWarmingUp(now time.Duration, s *server) bool {
+func (b *Balancer) drawWarmingUp(now time.Duration, s *server) bool {
 	capacity := b.capacity(now, s)
 	part := capacity * s.Weight * float64(len(b.subset)) / max(b.totalCapacity, 1e-9)
 	return capacity < 1 && !s.ejected && b.random.Float64() < part && b.hasBudget(now, s)
--- a/lbpolicy/snapshot.go
+++ b/lbpolicy/snapshot.go
@@ -17,7 +17,7 @@
 	SlowRate          float64          `json:"Avg"`
 	ArrivalRate       float64          `json:"Asking"`
 	ServerCapacity    float64          `json:"Full"`
-	AnswerCount       float64          `json:"Answers"`
+	OutcomeCount       float64          `json:"Answers"`
 	LatencySum        float64          `json:"LatSum"`
 	FullCount         float64          `json:"Fulls"`
 	ErrorCount        float64          `json:"Errs"`
@@ -61,7 +61,7 @@
 		SlowRate:       b.slowRate,
 		ArrivalRate:    b.arrivalRate,
 		ServerCapacity: b.serverCapacity,
-		AnswerCount:    b.answerCount,
+		OutcomeCount:    b.outcomeCount,
 		LatencySum:     b.latencySum,
 		FullCount:      b.fullCount,
 		ErrorCount:     b.errorCount,
@@ -111,7 +111,7 @@
 	b.startedAt = now - max(snapshot.SinceStart, 0)
 	b.fastRate, b.slowRate, b.arrivalRate = snapshot.FastRate, snapshot.SlowRate, snapshot.ArrivalRate
 	b.serverCapacity = snapshot.ServerCapacity
-	b.answerCount, b.latencySum = snapshot.AnswerCount, snapshot.LatencySum
+	b.outcomeCount, b.latencySum = snapshot.OutcomeCount, snapshot.LatencySum
 	b.fullCount, b.errorCount = snapshot.FullCount, snapshot.ErrorCount
 	if snapshot.BaseLatency > 0 {
 		b.baseLatency, b.baseLearned = snapshot.BaseLatency, true
@@ -129,7 +129,7 @@
 
 func (b *Balancer) restoreClass(now time.Duration, e ClassSnapshot) {
 	for i, c := range b.settings.Classes {
-		if c.Name == e.Class && isMeasurable(e.Seconds, e.Samples) {
+		if c.Name == e.Class && arePlausible(e.Seconds, e.Samples) {
 			*b.expected[i] = expectedLatency{seconds: e.Seconds, samples: e.Samples, updatedAt: now - max(e.Age, 0)}
 		}
 	}
@@ -150,17 +150,17 @@
 }
 
 func (s *Snapshot) isValid() bool {
-	return isMeasurable(s.BaseLatency, s.FastRate, s.SlowRate, s.ArrivalRate, s.ServerCapacity,
-		s.AnswerCount, s.LatencySum, s.FullCount, s.ErrorCount)
+	return arePlausible(s.BaseLatency, s.FastRate, s.SlowRate, s.ArrivalRate, s.ServerCapacity,
+		s.OutcomeCount, s.LatencySum, s.FullCount, s.ErrorCount)
 }
 
 func (s *ServerSnapshot) isValid() bool {
 	budgetIsValid := s.SlowStartBudget < maxBudgetMagnitude && s.SlowStartBudget > -maxBudgetMagnitude
-	return budgetIsValid && isMeasurable(s.Latency, s.ErrorRatio, s.ReportedCapacity, s.Utilization)
+	return budgetIsValid && arePlausible(s.Latency, s.ErrorRatio, s.ReportedCapacity, s.Utilization)
 }
 
-// isMeasurable reports whether values are numbers that can be measured.
-func isMeasurable(values ...float64) bool {
+// arePlausible reports whether values are numbers that can be measured.
+func arePlausible(values ...float64) bool {
 	for _, v := range values {
 		if !(v >= 0 && v < math.MaxFloat32) {
 			return false
--- a/lbpolicy/subset.go
+++ b/lbpolicy/subset.go
@@ -9,15 +9,15 @@
 
 // restoredServer returns a server that has come back from a manual ejection, for its first request.
 func (b *Balancer) restoredServer(now time.Duration, r *request) *server {
-	b.firstCallsDue = 0
+	b.firstRequestsDue = 0
 	var restored *server
 	for _, s := range b.subset {
-		if s.firstCallDue == 0 {
+		if s.firstRequestDue == 0 {
 			continue
 		}
-		b.firstCallsDue++
+		b.firstRequestsDue++
 		eligible := r.class.Effect != NonIdempotent && b.maySend(now, r, s)
-		if eligible && (now >= s.firstCallDue || b.hasBudget(now, s)) {
+		if eligible && (now >= s.firstRequestDue || b.hasBudget(now, s)) {
 			restored = s
 		}
 	}
@@ -28,7 +28,7 @@
 // balancers, and room for the requests of this one and for ejected servers.
 func (b *Balancer) targetSubsetSize() int {
 	perBalancer := balancersPerServer * float64(len(b.listed)) / float64(b.settings.Balancers)
-	size := max(minSubsetSize, int(math.Ceil(perBalancer)), int(2*b.quietLoad()))
+	size := max(minSubsetSize, int(math.Ceil(perBalancer)), int(2*b.baselineInFlight()))
 	return size + b.ejectedCount
 }
 
@@ -53,14 +53,14 @@
 // eligibleServers returns the servers that may get requests, apart from those of this zone where crossing
 // zones has a price. It notes whether they differ in weight.
 func (b *Balancer) eligibleServers() (local, others []*server) {
-	b.weighted = false
+	b.weightsDiffer = false
 	var previous *server
 	for _, s := range b.listed {
 		if !s.isEligible() {
 			continue
 		}
 		if previous != nil && s.Weight != previous.Weight {
-			b.weighted = true
+			b.weightsDiffer = true
 		}
 		previous = s
 		if b.settings.CrossZonePrice > 0 && s.Zone == b.settings.Zone {
--- a/lbpolicy/table.go
+++ b/lbpolicy/table.go
@@ -67,9 +67,9 @@
 	return objective
 }
 
-// quietLoad is the number of requests in flight in quiet times: rate x quiet latency. The higher of two
+// baselineInFlight is the number of requests in flight in quiet times: rate x quiet latency. The higher of two
 // smoothed rates counts, so that a balancer that suddenly gets more traffic does not reject it for being new.
-func (b *Balancer) quietLoad() float64 { return max(b.fastRate, b.slowRate) * b.baseLatency }
+func (b *Balancer) baselineInFlight() float64 { return max(b.fastRate, b.slowRate) * b.baseLatency }
 
 // queueLength is the number of requests in flight that the pool's servers have to answer.
 func (b *Balancer) queueLength() int { return b.inFlight - b.inFlightEjected - b.dispatchPending }
@@ -160,15 +160,15 @@
 func (b *Balancer) updateRates(now time.Duration, dt float64) {
 	age := (now - b.startedAt).Seconds()
 	arrivalWeight := smoothingWeight(dt, min(arrivalRateTime, age))
-	b.arrivalRate += (float64(b.arrivedInPeriod)/dt - b.arrivalRate) * arrivalWeight
+	b.arrivalRate += (float64(b.arrivalsInPeriod)/dt - b.arrivalRate) * arrivalWeight
 	for i, n := range b.levelArrivals {
 		b.levelRates[i] += (n/dt - b.levelRates[i]) * arrivalWeight
 		b.levelArrivals[i] = 0
 	}
-	rate := float64(b.answeredInPeriod) / dt
+	rate := float64(b.completionsInPeriod) / dt
 	b.fastRate += (rate - b.fastRate) * smoothingWeight(dt, min(fastRateTime, age))
 	b.slowRate += (rate - b.slowRate) * smoothingWeight(dt, min(slowRateTime, age))
-	b.answeredInPeriod, b.arrivedInPeriod = 0, 0
+	b.completionsInPeriod, b.arrivalsInPeriod = 0, 0
 	for i := range b.tenants {
 		t := &b.tenants[i]
 		quota := t.quota * b.trafficShare()
