--- a/lbpolicy/api.go
+++ b/lbpolicy/api.go
@@ -1,14 +1,18 @@
-// Package lbpolicy is the load-balancing policy of a client-side balancer. It decides which requests to reject at once,
-// which server gets each of the others, and what to do when an attempt fails.
+// Package lbpolicy implements the load-balancing policy of a client-side balancer. It decides which requests
+// to reject on arrival, which server each admitted request is sent to, and how to react when an attempt
+// fails.
 //
-// Admission follows a cursor table (Villen-Altamirano, ITC 11, 1985): a request is rejected when the requests in flight
-// reach the threshold under a cursor. Each period the cursor moves one step right while the pool load is above its
-// target, and left otherwise. Low rows of the table shed requests of low priority weight first.
+// Admission control uses a cursor table (Villen-Altamirano, ITC 11, 1985). Each row of the table holds the
+// thresholds of one priority level, one for each cursor position. A request is rejected when the requests in
+// flight reach the threshold under the cursor. Each period the cursor moves one step right while the pool
+// load is above its target, and left otherwise. The low rows of the table shed requests of low priority
+// weight first.
 //
-// A Balancer is driven by its host: one method for each event, and actions through Host. It does no I/O, and has no clock,
-// goroutines or global state; the same seed and events give the same actions. It is not safe for concurrent use.
+// The host drives a Balancer: it calls one method for each event, and carries out the actions that the
+// Balancer requests through Host. A Balancer does no I/O and has no clock, goroutines or global state. The
+// same seed and events produce the same actions. A Balancer is not safe for concurrent use.
 //
-// The types stand in api.go; balancer.go names the files of the policy.
+// The types are declared in api.go. The head of balancer.go lists the files of the policy.
 package lbpolicy
 
 import "time"
@@ -19,20 +23,20 @@
 // RequestID identifies a request. The host assigns it.
 type RequestID uint64
 
-// Effect is the idempotency of a class of requests.
+// Effect tells whether the requests of a class may be repeated.
 type Effect uint8
 
-// The effects.
+// Values of Effect.
 const (
-	Idempotent      Effect = iota // may be repeated
+	Idempotent      Effect = iota // may be repeated at any time
 	KeyedIdempotent               // has an idempotency key: servers of one group drop repeats within a window
-	NonIdempotent                 // must not be repeated once it may have run
+	NonIdempotent                 // must not be repeated once an attempt may have run
 )
 
 // Scope is the group of servers that drop repeats of a KeyedIdempotent request.
 type Scope uint8
 
-// The scopes.
+// Values of Scope.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
@@ -41,56 +45,56 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string        // identifies the class to Configure; empty: it does not
-	LatencyObjective time.Duration // a later answer has no value
-	Deadline         time.Duration // when clients give up
-	PriorityWeight   float64
+	Name             string        // matches the class in Configure; an empty name matches none
+	LatencyObjective time.Duration // a response that takes longer has no value
+	Deadline         time.Duration // after which clients give up
+	PriorityWeight   float64       // classes of a lower weight are shed first
 	Effect           Effect
-	Scope            Scope         // of KeyedIdempotent
-	Window           time.Duration // of KeyedIdempotent: from the first attempt that may have run
+	Scope            Scope         // for KeyedIdempotent only
+	Window           time.Duration // for KeyedIdempotent only: since the first attempt that may have run
 }
 
-// Tenant has an agreed rate over all balancers. Zero: it has none.
+// Tenant is a customer with a request quota.
 type Tenant struct {
-	QuotaPerSecond float64
-	Name           string // as of a class
+	QuotaPerSecond float64 // requests over all balancers; 0: no quota
+	Name           string  // matches the tenant in Configure; an empty name matches none
 }
 
-// Field is one value of a load report.
+// Field identifies one value of a load report.
 type Field uint8
 
-// The fields. Other fields are ignored.
+// Values of Field.
 const (
-	FieldOther Field = iota
+	FieldOther Field = iota // ignored
 	FieldUtilization
-	FieldRequestRate // requests per second, of all balancers together
+	FieldRequestRate // requests per second, from all balancers together
 )
 
-// Fields are the names under which servers report the fields.
+// Fields maps the names that servers use in load reports to fields.
 var Fields = map[string]Field{"util": FieldUtilization, "qps": FieldRequestRate}
 
 // Settings configure a balancer.
 type Settings struct {
-	Balancers int // of this tier
-	Index     int // of this one among them, from 0
+	Balancers int // number of balancers in this tier
+	Index     int // of this balancer among them, from 0
 	Zone      int
-	Tier      int // that it sends to; 0 is the one that clients reach
+	Tier      int // that this balancer sends to; 0 is the front tier, which clients reach
 	Classes   []Class
 	Tenants   []Tenant
 
 	RetriesMarked    bool // clients mark their retries
-	PollDiscovery    bool // discovery answers only when asked
+	PollDiscovery    bool // discovery sends endpoint lists only when polled
 	MaxPollInterval  time.Duration
 	MaxAttempts      int
-	MayCancel        bool
+	MayCancel        bool // attempts in flight may be cancelled
 	MayHedge         bool // two attempts of one request may be in flight
-	SendsRetryAfter  bool // clients are told when to retry
+	SendsRetryAfter  bool // rejected clients are told when to retry
 	MaxRetryAfter    time.Duration
 	ConnIdleTimeout  time.Duration
-	InitialCapacity  float64 // of a server that has started, as a share of its full capacity
-	SlowStart        time.Duration
-	OverloadMultiple float64 // of its present capacity, above which a server in slow start is overloaded
-	OverloadWindow   time.Duration
+	InitialCapacity  float64       // of a server that has just started, as a share of its full capacity
+	SlowStart        time.Duration // time from a server's start to its full capacity
+	OverloadMultiple float64       // of its present capacity; above, a server in slow start is overloaded
+	OverloadWindow   time.Duration // over which the load of a server in slow start is measured
 
 	CrossZonePrice, HandshakePrice float64
 
@@ -100,7 +104,7 @@
 // State is the state of a server in discovery.
 type State uint8
 
-// The states.
+// Values of State.
 const (
 	Removed State = iota
 	Ready
@@ -112,30 +116,31 @@
 	ID        ServerID
 	Zone      int
 	Cell      int
-	StartedAt time.Duration // zero: long ago
+	StartedAt time.Duration // zero: started long ago
 	State     State
-	// Weight is its part of the traffic compared with servers of the same speed, the largest being 1. Zero is 1.
+	// Weight is the server's traffic compared with a server of weight 1 and the same speed. The largest
+	// weight in a list is 1. Zero counts as 1.
 	Weight float64
 }
 
 // ListKind is the kind of an endpoint list.
 type ListKind uint8
 
-// The kinds of lists.
+// Values of ListKind.
 const (
-	Delta  ListKind = iota // changed entries
+	Delta  ListKind = iota // only the entries that have changed
 	Full                   // the whole list
-	Cached                 // the whole list as last received, which may be stale
-	Failed                 // a discovery call failed; no entries
+	Cached                 // the whole list as last received; it may be stale
+	Failed                 // a discovery call failed; the list has no entries
 )
 
-// KeyState is what is known of other attempts with the idempotency key of a request: for earlier requests with the key,
-// or for ones that are still in progress.
+// KeyState is what the host knows about other attempts with the idempotency key of a request. They may belong
+// to earlier requests with the same key, or to requests that are still in progress.
 type KeyState struct {
-	Known       bool          // an attempt may have run, or is running: the request stays in its group of servers
-	Unavailable bool          // that group has none of this balancer's servers
-	Zone, Cell  int           // of the group, where the class's scope is one of these
-	RetryUntil  time.Duration // the group drops a repeat that is sent before
+	Known       bool          // an attempt may have run or is running; the request stays in its group
+	Unavailable bool          // that group has no server that this balancer can use
+	Zone, Cell  int           // of the group; each applies if the class has this scope
+	RetryUntil  time.Duration // the group drops repeats that are sent before this time
 }
 
 // Request is an arriving request.
@@ -144,18 +149,18 @@
 	Class    int
 	Tenant   int
 	TimeLeft time.Duration // until the client gives up
-	Retry    bool          // marked by the client
-	// MaxAttempts bounds the attempts further than the settings do. Zero: it does not.
+	Retry    bool          // the client has marked the request as a retry
+	// MaxAttempts is a further limit on the attempts, beside that of the settings. Zero: no further limit.
 	MaxAttempts int
-	// ClassAtArrival is the class as it was when the request arrived, if settings have changed since.
+	// ClassAtArrival is the class when the request arrived, if settings have changed since. Otherwise nil.
 	ClassAtArrival *Class
 	KeyState       KeyState
 }
 
-// Verdict is how an attempt ended.
+// Verdict tells how an attempt ended.
 type Verdict uint8
 
-// The verdicts. ServerFull, ConnectFailed and NotSent prove that the attempt never ran.
+// Values of Verdict. ServerFull, ConnectFailed and NotSent prove that the attempt never ran.
 const (
 	OK Verdict = iota
 	Error
@@ -165,61 +170,65 @@
 	Reset
 	Cancelled
 	NotSent
-	Rejected // the request itself is invalid, and would be for any server
+	Rejected // the request itself is invalid, and every server would reject it
 )
 
 // NeverRan reports whether the verdict proves that the attempt was not executed.
 func (v Verdict) NeverRan() bool { return v == ServerFull || v == ConnectFailed || v == NotSent }
 
-// Outcome is the end of one attempt.
+// Outcome describes the end of one attempt.
 type Outcome struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
 	Verdict Verdict
 	Latency time.Duration
-	Final   bool      // the request is finished
+	Final   bool      // the request is finished, and no further attempt is made
 	Load    []float32 // a load report, in the order of Settings.ReportFields; empty: none
 }
 
-// ServerProgress is what a host's connections show of the attempts at a server whose Outcomes are still to come.
+// ServerProgress describes the attempts at a server whose Outcomes have not been processed yet, as seen on
+// the host's connections.
 type ServerProgress struct {
-	// HasUnreadAnswer means that an answer has arrived which was not read yet, or whose call of Outcome has not returned.
+	// HasUnreadAnswer means that a response has arrived which the host has not read yet, or for which its
+	// call of Outcome has not returned.
 	HasUnreadAnswer bool
-	// WaitsSince is the earliest WaitsSince of these attempts, apart from those whose dispatch is pending; zero if there is none.
+	// WaitsSince is the earliest result of Host.WaitsSince for these attempts, apart from those whose
+	// dispatch is pending. Zero: there is no such attempt.
 	WaitsSince time.Duration
 }
 
-// HedgeReason is why a request got another attempt while one was in flight.
+// HedgeReason tells why a request got another attempt while one was in flight.
 type HedgeReason uint8
 
-// The reasons.
+// Values of HedgeReason.
 const (
-	HedgeSilent  HedgeReason = iota // the server has answered nothing since the attempt was sent
-	HedgeStopped                    // the server has answered since, and was ejected later
+	HedgeSilent  HedgeReason = iota // the server has sent no response since the attempt was sent
+	HedgeStopped                    // the server has responded to other attempts since, but was ejected later
 )
 
-// HedgeReasons are the names of the reasons.
+// HedgeReasons holds the names of the reasons.
 var HedgeReasons = [...]string{HedgeSilent: "silent", HedgeStopped: "stopped"}
 
-// Hedge describes a hedged request.
+// Hedge describes a hedged request: a further attempt while an earlier one is in flight.
 type Hedge struct {
 	Request      RequestID
-	Attempt      int // that was in flight
+	Attempt      int // number of the attempt in flight
 	Server       ServerID
 	Reason       HedgeReason
-	Waited       time.Duration // since the attempt was decided on
+	Waited       time.Duration // since the attempt in flight was decided on
 	UsualLatency time.Duration // of the pool
 }
 
-// Host carries out a balancer's actions, in order, at the time of the present event. It answers questions about attempts in
-// flight before a server or an attempt is given up.
+// Host carries out a balancer's actions, in the order of the calls and at the time of the present event. It
+// also reports the progress of attempts in flight, which the balancer asks for before it ejects a server or
+// gives up an attempt.
 type Host interface {
-	// Send starts the request's next attempt. It ends at the client's deadline at the latest.
+	// Send starts the request's next attempt. The attempt must end at the client's deadline at the latest.
 	Send(RequestID, ServerID)
-	// Reject gives a final answer that tells the client that a retry is harmless.
+	// Reject sends the client a final response which tells it that a retry is harmless.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail gives a final answer that promises nothing.
+	// Fail sends the client a final response which does not tell whether a retry is harmless.
 	Fail(RequestID)
 	// Cancel stops waiting for an attempt.
 	Cancel(id RequestID, attempt int)
@@ -227,15 +236,15 @@
 	CloseIdle(ServerID)
 	// Watch polls discovery for changes.
 	Watch()
-	// SetTimer requests a Timer event at or after the given time.
+	// SetTimer requests a call of Balancer.Timer with the token, at the given time or later.
 	SetTimer(at time.Duration, token uint64)
-	// ServerProgress tells of the attempts in flight at a server.
+	// ServerProgress describes the attempts in flight at a server.
 	ServerProgress(ServerID) ServerProgress
-	// WaitsSince returns since when an attempt in flight waits for its server: for a connection, or for the answer since it was
-	// written. It is the present time while the attempt waits for the host, and zero if the host sends attempts as they are
-	// decided on.
+	// WaitsSince returns the time since which an attempt in flight has been waiting for its server: for a
+	// connection, or for the response since the request was written. While the attempt waits for the host, it
+	// returns the present time. A host that sends attempts as soon as they are decided on returns zero.
 	WaitsSince(id RequestID, attempt int) time.Duration
-	// Hedged tells that the next Send is a hedged request's.
+	// Hedged announces that the next Send starts a hedged request.
 	Hedged(Hedge)
 	// Log adds a line to the log.
 	Log(string)
--- a/lbpolicy/attempt.go
+++ b/lbpolicy/attempt.go
@@ -1,28 +1,28 @@
 package lbpolicy
 
-// This file: requests, their attempts and their final answers.
+// Requests, their attempts and their final responses.
 
 import (
 	"slices"
 	"time"
 )
 
-// Request decides a new request: it is rejected at once or sent.
-func (b *Balancer) Request(now time.Duration, q Request) {
+// Request handles a new request: it is rejected at once or sent.
+func (b *Balancer) Request(now time.Duration, req Request) {
 	b.advance(now)
-	if _, known := b.requests[q.ID]; known || q.Class < 0 || q.Class >= len(b.settings.Classes) {
+	if _, known := b.requests[req.ID]; known || req.Class < 0 || req.Class >= len(b.settings.Classes) {
 		return
 	}
-	b.recordArrival(now, q)
-	r := b.newRequest(now, q)
-	b.requests[q.ID] = r
-	level := b.levelOf(q)
+	b.recordArrival(now, req)
+	r := b.newRequest(now, req)
+	b.requests[req.ID] = r
+	level := b.levelOf(req)
 	b.levelArrivals[level]++
 	if b.dropFraction > 0 && b.drawDrop(level) {
 		b.reject(now, r, 1+b.cursor)
 		return
 	}
-	if b.hasTooLittleTime(now, r, q.TimeLeft.Seconds()) {
+	if b.hasTooLittleTime(now, r, req.TimeLeft.Seconds()) {
 		b.reject(now, r, 0)
 		return
 	}
@@ -41,54 +41,56 @@
 	b.send(now, r, s)
 }
 
-// recordArrival counts a request. After a pause, what was measured of rates is void: requests arrive like
-// those after a start. Tiers behind the front get their requests from one endpoint, whose own bounds hold.
-func (b *Balancer) recordArrival(now time.Duration, q Request) {
+// recordArrival counts a request. After a pause, the measured rates no longer apply, as after a start. Tiers
+// behind the front get their requests from one endpoint, which enforces its own limits: no pause is recorded.
+func (b *Balancer) recordArrival(now time.Duration, req Request) {
 	b.retryBudget = min(b.retryBudget+retryBudgetRatio, maxRetryBudget)
 	paused := (now - b.lastArrival).Seconds() > b.meanObjective
 	if b.settings.Tier == 0 && b.inFlight == 0 && paused {
 		b.resumedAt = now
 	}
 	b.lastArrival = now
-	if !q.Retry {
+	if !req.Retry {
 		b.arrivalsInPeriod++
 	}
 }
 
-// drawDrop draws whether a request is in the fraction to drop: all of the lowest level, then the next one.
-// While no rate is known, all levels are alike.
+// drawDrop decides at random whether a request is dropped. The fraction to drop is taken from the lowest
+// level first, then from the next one. While no rate is known, all levels are treated alike.
 func (b *Balancer) drawDrop(level int) bool {
-	total, below := 0.0, 0.0
+	totalRate, lowerRate := 0.0, 0.0
 	for i, rate := range b.levelRates {
-		total += rate
+		totalRate += rate
 		if i < level {
-			below += rate
+			lowerRate += rate
 		}
 	}
 	fraction := b.dropFraction
-	if total > 0 {
-		fraction = (b.dropFraction*total - below) / max(b.levelRates[level], 1e-9)
+	if totalRate > 0 {
+		fraction = (b.dropFraction*totalRate - lowerRate) / max(b.levelRates[level], 1e-9)
 	}
 	return fraction >= 1 || fraction > 0 && b.random.Float64() < fraction
 }
 
 // scheduleCheck sets the time at which a request's latest attempt is checked.
 func (b *Balancer) scheduleCheck(now time.Duration, r *request) {
-	left := (r.deadline - now).Seconds()
-	if r.class.Effect == NonIdempotent || b.hasUsedAllAttempts(r) || left < b.baseLatency/2 {
+	timeLeft := (r.deadline - now).Seconds()
+	if r.class.Effect == NonIdempotent || b.hasUsedAllAttempts(r) || timeLeft < b.baseLatency/2 {
 		return
 	}
-	wait := min(unresponsiveMultiple*b.usualLatency(), left/2)
+	wait := min(unresponsiveMultiple*b.usualLatency(), timeLeft/2)
 	r.checkFrom, r.checkAt = now, now+duration(wait)
 	b.host.SetTimer(r.checkAt, uint64(r.id))
 }
 
-// hasUsedAllAttempts reports whether a request has had all its attempts.
+// hasUsedAllAttempts reports whether a request has reached its limit of attempts.
 func (b *Balancer) hasUsedAllAttempts(r *request) bool {
 	return len(r.attempts) >= r.maxAttempts || len(r.attempts) >= b.settings.MaxAttempts
 }
 
-// maySend applies rules 1 to 3 to one more attempt.
+// maySend reports whether one more attempt is allowed. Rule 1: no attempt after the final response, the
+// deadline or the last allowed attempt. Rule 2: nothing runs twice that must not, and only hedged requests
+// run twice at once. Rule 3: no attempt at a server that is draining, removed or manually ejected.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
 	if r.done || now >= r.deadline || b.hasUsedAllAttempts(r) || !s.isEligible() {
 		return false
@@ -108,7 +110,7 @@
 	return true
 }
 
-// mayRepeat reports whether a request of a class that is not idempotent may be repeated at a server, after an
+// mayRepeat reports whether a server may get a further attempt of a request that is not idempotent, after an
 // attempt that may have run.
 func (c *Class) mayRepeat(now time.Duration, a *attempt, s *server) bool {
 	switch {
@@ -122,8 +124,8 @@
 	return true
 }
 
-// allows applies rule 2 over requests with the same key: a repeat goes to the group that may have run the
-// first attempt, while that group remembers it.
+// allows applies rule 2 to requests with the same key. A repeat goes to the group that may have run the first
+// attempt, and only while that group still drops repeats.
 func (k *KeyState) allows(now time.Duration, scope Scope, s *server) bool {
 	switch {
 	case !k.Known:
@@ -138,7 +140,7 @@
 	return true
 }
 
-// send is the only place that starts attempts.
+// send is the only function that starts attempts.
 func (b *Balancer) send(now time.Duration, r *request, s *server) {
 	if !b.maySend(now, r, s) {
 		return
@@ -157,8 +159,8 @@
 	b.scheduleCheck(now, r)
 }
 
-// reject and fail are the only places that give final answers: a rejection where a retry is harmless, else a
-// failure. A rejected client is told to retry after a number of periods.
+// reject sends a final response. It rejects the request if a retry is harmless, and fails it otherwise. A
+// rejected client is told to retry after a number of periods. Only reject and fail send final responses.
 func (b *Balancer) reject(now time.Duration, r *request, periods int) {
 	if r.done {
 		return
@@ -178,7 +180,7 @@
 	b.release(r)
 }
 
-// mayReject reports whether a retry of the request is harmless.
+// mayReject reports whether a retry of the request by the client is harmless.
 func mayReject(now time.Duration, r *request) bool {
 	if r.keyState.Known && (r.class.Scope != ScopeAll || now >= r.keyState.RetryUntil) {
 		return false
@@ -189,18 +191,18 @@
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
-// retryAfter returns the time in which the cursor could be back at rest, with jitter, so that clients that
-// were rejected together do not come back together. A client that met a full queue with the cursor at rest
-// comes back a period later; one that had too little time gains nothing by waiting.
+// retryAfter returns the time in which the cursor could be back at 0. Jitter keeps clients that were rejected
+// together from retrying together. A client rejected at cursor 0 for a full queue retries after one period. A
+// client that had too little time gains nothing by waiting.
 func (b *Balancer) retryAfter(periods int) time.Duration {
 	if !b.settings.SendsRetryAfter || b.settings.Tier > 0 {
 		return 0
 	}
-	d := float64(b.period) * float64(periods) * (0.5 + b.random.Float64())
-	return min(time.Duration(d), b.settings.MaxRetryAfter)
+	delay := float64(b.period) * float64(periods) * (0.5 + b.random.Float64())
+	return min(time.Duration(delay), b.settings.MaxRetryAfter)
 }
 
-// Outcome records the end of an attempt. One of an unknown request is ignored.
+// Outcome records the end of an attempt. Outcomes of unknown requests are ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	b.advance(now)
 	r := b.requests[o.ID]
@@ -239,8 +241,8 @@
 	b.closeIdleConnections(now, s)
 }
 
-// closeIdleConnections closes connections left idle by a peak while servers accept no more of them: each
-// takes a place that another balancer's request cannot have.
+// closeIdleConnections closes connections left idle after a peak, while servers accept no more connections.
+// An idle connection occupies a place that another balancer could use.
 func (b *Balancer) closeIdleConnections(now time.Duration, s *server) {
 	scarce := b.connectionsFullAt > 0 && now-b.connectionsFullAt < b.settings.ConnIdleTimeout
 	if scarce && b.settings.HandshakePrice == 0 && s.openConnections > s.inFlight {
@@ -249,18 +251,18 @@
 	}
 }
 
-// retry sends a request whose attempts have all failed once more, or ends it. While requests are shed, only
-// one that never ran is sent again. An attempt that was held back because another group owns the key does not
-// count against the retry budget.
+// retry sends a request once more after all its attempts have failed, or ends it. While load is shed, it
+// retries only if the last attempt never ran. An attempt that was not sent because another group owns the key
+// does not count against the retry budget.
 func (b *Balancer) retry(now time.Duration, r *request, v Verdict) {
 	last := &r.attempts[len(r.attempts)-1]
 	mayHaveRun, cost := !last.neverRan, 1.0
 	if v == NotSent && !r.keyState.allows(now, r.class.Scope, last.server) {
 		cost = 0
 	}
-	left := (r.deadline - now).Seconds()
-	late := left < b.baseLatency/2 || mayReject(now, r) && b.hasTooLittleTime(now, r, left)
-	if b.retryBudget >= cost && !late && !(mayHaveRun && b.shedding) {
+	timeLeft := (r.deadline - now).Seconds()
+	tooLate := timeLeft < b.baseLatency/2 || mayReject(now, r) && b.hasTooLittleTime(now, r, timeLeft)
+	if b.retryBudget >= cost && !tooLate && !(mayHaveRun && b.shedding) {
 		if s := b.pick(now, r); s != nil {
 			b.retryBudget -= cost
 			b.send(now, r, s)
@@ -270,7 +272,7 @@
 	b.reject(now, r, b.cursor)
 }
 
-// Timer handles a timer of this balancer. One of an unknown request is ignored.
+// Timer handles a timer of this balancer. Timers of unknown requests are ignored.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	b.advance(now)
 	if token == discoveryToken {
@@ -278,18 +280,18 @@
 		return
 	}
 	r := b.requests[RequestID(token)]
-	if r == nil || r.done || now < r.checkAt-time.Millisecond { // clocks round
+	if r == nil || r.done || now < r.checkAt-time.Millisecond { // clocks are rounded
 		return
 	}
 	b.checkAttempt(now, r)
 }
 
-// checkAttempt hedges or cancels a request's latest attempt, if its server has answered nothing since: the
-// server hangs or has failed. One that answers others may stop later, and is checked again: it has stopped if
-// it was ejected, and has answered nothing since the last check.
+// checkAttempt hedges or cancels a request's latest attempt if its server hangs or has failed: it has sent no
+// response since the attempt was sent. A server that still responds to others may stop later, so its attempts
+// are checked again. It has stopped if it was ejected and has sent no response since the last check.
 func (b *Balancer) checkAttempt(now time.Duration, r *request) {
-	n := len(r.attempts) - 1
-	a := &r.attempts[n]
+	number := len(r.attempts) - 1
+	a := &r.attempts[number]
 	if a.ended {
 		return
 	}
@@ -298,36 +300,36 @@
 		b.scheduleCheck(now, r)
 		return
 	}
-	if b.postponeCheck(now, r, n) {
+	if b.postponeCheck(now, r, number) {
 		return
 	}
 	if !b.settings.MayHedge {
 		if b.settings.MayCancel {
-			b.host.Cancel(r.id, n)
+			b.host.Cancel(r.id, number)
 		}
 		return
 	}
 	if s := b.pick(now, r); s != nil {
 		b.retryBudget--
-		b.host.Hedged(b.describeHedge(now, r, n))
+		b.host.Hedged(b.describeHedge(now, r, number))
 		b.send(now, r, s)
 	}
 }
 
-// Delays of this process that are no server's.
+// Delays that this process causes, not a server.
 const (
-	sendDelay        = time.Millisecond      // from the decision to the write, in a process that runs
-	unreadCheckDelay = 10 * time.Millisecond // in which an answer that has arrived is read
+	sendDelay        = time.Millisecond      // from the decision to the write, unless the process was paused
+	unreadCheckDelay = 10 * time.Millisecond // time in which a response that has arrived is read
 )
 
-// postponeCheck repeats the check of an attempt later, and reports whether it does, if this process is late
-// and not the server: the attempt was sent some time after it was decided on, or an answer waits to be read.
-func (b *Balancer) postponeCheck(now time.Duration, r *request, n int) bool {
-	since, wait := b.host.WaitsSince(r.id, n), r.checkAt-r.checkFrom
+// postponeCheck postpones the check of an attempt, and reports whether it did, if this process is late and
+// not the server: the attempt was sent some time after the decision, or a response waits to be read.
+func (b *Balancer) postponeCheck(now time.Duration, r *request, number int) bool {
+	since, wait := b.host.WaitsSince(r.id, number), r.checkAt-r.checkFrom
 	switch {
 	case since > r.checkFrom+sendDelay && now < since+wait:
 		r.checkFrom, r.checkAt = since, since+wait
-	case b.host.ServerProgress(r.attempts[n].server.ID).HasUnreadAnswer:
+	case b.host.ServerProgress(r.attempts[number].server.ID).HasUnreadAnswer:
 		r.checkAt = now + unreadCheckDelay
 	default:
 		return false
--- a/lbpolicy/endpoints.go
+++ b/lbpolicy/endpoints.go
@@ -1,7 +1,7 @@
 package lbpolicy
 
-// This file: endpoint lists, manual ejections and load reports, as they are received. What follows from them
-// stands in subset.go and health.go.
+// Receipt of endpoint lists, manual ejections and load reports. The decisions that follow are in subset.go
+// and health.go.
 
 import (
 	"cmp"
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// UpdateEndpoints applies an endpoint list. A server that is not in it any more gets no new request from now
-// on.
+// UpdateEndpoints applies an endpoint list. A server that is no longer listed gets no new requests.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind ListKind, entries []Server) {
 	b.advance(now)
 	b.schedulePoll(now, kind)
@@ -35,7 +34,7 @@
 	b.updateSubset()
 }
 
-// markMissing removes the servers that are not in a whole list.
+// markMissing marks the servers that a whole list does not contain as removed.
 func (b *Balancer) markMissing(entries []Server) {
 	present := make(map[ServerID]bool, len(entries))
 	for _, e := range entries {
@@ -48,7 +47,8 @@
 	}
 }
 
-// SetBalancers sets how many balancers there are, and the index of this one.
+// SetBalancers sets the number of balancers in the tier and the index of this one. Invalid values are
+// ignored.
 func (b *Balancer) SetBalancers(now time.Duration, balancers, index int) {
 	b.advance(now)
 	if balancers < 1 || index < 0 || balancers == b.settings.Balancers && index == b.settings.Index {
@@ -58,30 +58,30 @@
 	b.updateSubset()
 }
 
-func (b *Balancer) updateServer(e Server) {
-	if e.Weight <= 0 {
-		e.Weight = 1
+func (b *Balancer) updateServer(entry Server) {
+	if entry.Weight <= 0 {
+		entry.Weight = 1
 	}
-	s := b.servers[e.ID]
+	s := b.servers[entry.ID]
 	if s == nil {
-		if e.State == Removed {
+		if entry.State == Removed {
 			return
 		}
-		s = &server{Server: e}
-		_, s.manuallyEjected = b.manuallyEjected[e.ID]
-		b.servers[e.ID] = s
+		s = &server{Server: entry}
+		_, s.manuallyEjected = b.manuallyEjected[entry.ID]
+		b.servers[entry.ID] = s
 		b.listed = append(b.listed, s)
 	}
-	if s.StartedAt != e.StartedAt { // a new process: what was known of the old one is void
+	if s.StartedAt != entry.StartedAt { // a new process: measurements of the old one do not apply
 		s.reset()
-		if since, ejected := b.manuallyEjected[e.ID]; !ejected || e.StartedAt > since {
+		if since, ejected := b.manuallyEjected[entry.ID]; !ejected || entry.StartedAt > since {
 			s.restoredAt = 0
 		}
 	}
-	s.Server = e
+	s.Server = entry
 }
 
-// reset forgets what is known of a server's process.
+// reset discards what was measured of a server's process.
 func (s *server) reset() {
 	s.latency = 0
 	s.ejected, s.ejections = false, 0
@@ -90,13 +90,13 @@
 	s.budgetFilledAt = 0
 }
 
-// isEligible reports whether a server may get new requests, as far as discovery and operators say.
+// isEligible reports whether discovery and operators allow new requests to the server.
 func (s *server) isEligible() bool { return s.State == Ready && !s.manuallyEjected }
 
-// SetManuallyEjected ejects a server, listed or not, on an operator's request, or restores it. A restored
-// server counts as just started unless discovery reports a later start: it may have been restarted unseen. One
-// that was not goes through slow start once more. The next request that fits is its first, as no balancer
-// would otherwise get to know it.
+// SetManuallyEjected ejects a server on an operator's request, or restores it. The server need not be listed.
+// A restored server may have been restarted without notice, so it counts as just started unless discovery
+// reports a later start. A server that was not restarted goes through slow start once more. A restored server
+// gets the next request that fits as its first one; otherwise no balancer would send to it and measure it.
 func (b *Balancer) SetManuallyEjected(now time.Duration, id ServerID, ejected bool) {
 	b.advance(now)
 	since, wasEjected := b.manuallyEjected[id]
@@ -116,10 +116,10 @@
 	b.updateSubset()
 }
 
-// restore readmits a server that was manually ejected since a time.
+// restore readmits a server that was manually ejected at the time since.
 func (b *Balancer) restore(now time.Duration, s *server, since time.Duration) {
 	s.reset()
-	window := firstRequestWindowMultiple * b.random.Float64() * float64(b.settings.OverloadWindow)
+	window := firstRequestSpread * b.random.Float64() * float64(b.settings.OverloadWindow)
 	s.firstRequestDue = now + 1 + time.Duration(window)
 	b.firstRequestsDue++
 	if s.StartedAt <= since {
@@ -127,7 +127,7 @@
 	}
 }
 
-// hashID spreads IDs over 64 bits (the finaliser of splitmix64).
+// hashID spreads IDs evenly over 64 bits (the finaliser of splitmix64).
 func hashID(id ServerID) uint64 {
 	x := uint64(id) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -135,10 +135,11 @@
 	return x ^ x>>31
 }
 
-// capacitySmoothing is the weight of one load report.
+// capacitySmoothing is the weight of one load report in the smoothed capacity.
 const capacitySmoothing = 0.3
 
-// recordLoadReport updates a server's utilization and capacity, which is its rate over its utilization.
+// recordLoadReport updates a server's utilization and capacity from a load report. The capacity is the
+// request rate divided by the utilization.
 func (b *Balancer) recordLoadReport(now time.Duration, s *server, load []float32) {
 	rate := 0.0
 	for i, v := range load[:min(len(load), len(b.settings.ReportFields))] {
--- a/lbpolicy/health.go
+++ b/lbpolicy/health.go
@@ -1,6 +1,6 @@
 package lbpolicy
 
-// This file: outlier ejection.
+// Outlier ejection.
 
 import (
 	"fmt"
@@ -25,7 +25,7 @@
 	}
 }
 
-// updateServerCapacity follows what a warmed-up server can answer.
+// updateServerCapacity averages the reported capacities of the warmed-up servers, if there are any.
 func (b *Balancer) updateServerCapacity(now time.Duration) {
 	sum, n := 0.0, 0.0
 	for _, s := range b.subset {
@@ -40,15 +40,15 @@
 	}
 }
 
-const minCapacity = 0.1 // bounds how much longer a server in slow start may take
+const minCapacity = 0.1 // limits how much longer a server in slow start may take to respond
 
-// ejectIfUnresponsive ejects a server whose requests have waited many times the usual latency, all together,
-// without an answer. Each wait counts for as long as it was: requests with little time, or that were given
-// up, say little, and many say as much as one long one. So a server that hangs or has failed is found the
-// sooner the more requests it has, and a healthy one is not ejected for clients in a hurry. Where most of the
-// pool is slow, the usual latency rises with it. A server that answers in batches, later than
-// minUnresponsiveWait allows, would be ejected wrongly. This process can be late, too: the verdict waits for
-// an answer that has arrived and was not read, and a server has its least wait from the first write on.
+// ejectIfUnresponsive ejects a server that has sent no response while its requests waited, in sum,
+// unresponsiveMultiple times the usual latency. Each request counts for as long as it waited, and many short
+// waits count as much as a long one. So a server that hangs or has failed is found sooner the more requests
+// it has, and a healthy one is not ejected because clients give up early. Where most of the pool is slow, the
+// usual latency rises with it. A server that responds in batches, later than minUnresponsiveWait allows, is
+// ejected wrongly. This process can also be late. Therefore a response that has arrived unread prevents the
+// ejection, and minUnresponsiveWait counts from the first write.
 func (b *Balancer) ejectIfUnresponsive(now time.Duration, s *server) {
 	usual := b.usualLatency() / max(b.capacity(now, s), minCapacity)
 	unresponsive := s.waited > unresponsiveMultiple*usual && s.unansweredSeconds > minUnresponsiveWait*usual
@@ -61,10 +61,10 @@
 	}
 }
 
-// mayEject reports whether a server is not ejected, or due a probe.
+// mayEject reports whether a server may be ejected: it is in use, or it is ejected and due for a probe.
 func (s *server) mayEject(now time.Duration) bool { return !s.ejected || now >= s.ejectedUntil }
 
-// eject ejects a server, for longer each time.
+// eject ejects a server, each time in a row for a longer period.
 func (b *Balancer) eject(now time.Duration, s *server, reason string) {
 	if !s.ejected {
 		b.host.Log(fmt.Sprintf("server %d out: %s", s.ID, reason))
@@ -76,28 +76,28 @@
 	s.ejectedUntil = now + time.Duration((0.5+b.random.Float64())*backoff)
 }
 
-// ejectIfFailing ejects a server that answers with errors, or rejects requests, where the others do not: it
-// is fast and idle, which would rank it best and draw every retry to it. Errors from deeper in the chain, and
-// an overload, come from all servers alike: others is the number of them in the pool.
+// ejectIfFailing ejects a server that fails where the others do not. A server that fails at once is fast and
+// idle: it would rank best and attract every retry. Errors of deeper tiers, and an overload, come from all
+// servers alike: others is the number of such failures in the pool.
 func (b *Balancer) ejectIfFailing(now time.Duration, s *server, others float64, reason string) {
 	if s.errorRatio > failureRatio && s.errorRatio*b.outcomeCount > others && s.mayEject(now) {
 		b.eject(now, s, reason)
 	}
 }
 
-// mayProbe allows an ejected server one request at a time, of those that may be repeated.
+// mayProbe allows one request at a time to an ejected server that is due a probe, if it may be repeated.
 func (b *Balancer) mayProbe(now time.Duration, r *request, s *server) bool {
 	return s.ejected && now >= s.ejectedUntil && s.inFlight == 0 && r.class.Effect != NonIdempotent
 }
 
-// Smoothing of a server's latency and errors, per answer.
+// Smoothing of a server's latency and error ratio.
 const (
-	latencySmoothing = 0.2
-	errorSmoothing   = 0.3
-	errorDecay       = 0.7 // with an answer
+	latencySmoothing = 0.2 // weight of one response
+	errorSmoothing   = 0.3 // weight of one failure
+	errorDecay       = 0.7 // factor on the error ratio per OK response
 )
 
-// recordOutcome updates what is known of a server and of the pool with the end of an attempt.
+// recordOutcome updates the state of a server and of the pool at the end of an attempt.
 func (b *Balancer) recordOutcome(now time.Duration, s *server, o Outcome) {
 	usual := b.usualLatency()
 	switch o.Verdict {
@@ -106,8 +106,8 @@
 		s.clearWait()
 	case Timeout, Cancelled:
 		probed := s.ejected && now >= s.ejectedUntil
-		hadItsTime := o.Latency.Seconds() > usual && s.lastResponseAt < now-o.Latency
-		if probed && hadItsTime && !b.host.ServerProgress(s.ID).HasUnreadAnswer {
+		waitedLongEnough := o.Latency.Seconds() > usual && s.lastResponseAt < now-o.Latency
+		if probed && waitedLongEnough && !b.host.ServerProgress(s.ID).HasUnreadAnswer {
 			b.eject(now, s, "silent")
 		}
 	}
@@ -117,8 +117,8 @@
 	b.recordLoadReport(now, s, o.Load)
 }
 
-// recordPoolOutcome updates the latency and the errors of the pool. A failure of an ejected server tells of that
-// server, and not of the load of the others.
+// recordPoolOutcome updates the latency and the errors of the pool. Failures of an ejected server are left
+// out: they say nothing about the load of the others.
 func (b *Balancer) recordPoolOutcome(s *server, o Outcome, usual float64) {
 	latency := o.Latency.Seconds()
 	switch {
@@ -131,7 +131,7 @@
 		b.completionsInPeriod++
 		b.outcomeCount++
 		b.errorCount++
-		b.latencySum += max(latency, usual) // an answer would have taken longer: it does not count as fast
+		b.latencySum += max(latency, usual) // not a fast response: it would have taken longer
 	case o.Verdict == ServerFull || o.Verdict == ConnectFailed:
 		b.outcomeCount++
 		b.fullCount++
@@ -156,7 +156,7 @@
 		s.errorRatio += (1 - s.errorRatio) * errorSmoothing
 		b.ejectIfFailing(now, s, b.errorCount+b.fullCount, "full")
 	case ConnectFailed:
-		if !b.ejectIfUnreachable(now, s) { // it is out of connections
+		if !b.ejectIfUnreachable(now, s) { // it refuses further connections
 			b.connectionsFullAt = now
 		}
 	case Reset:
@@ -165,14 +165,14 @@
 	}
 }
 
-// ejectIfUnreachable records a connection that failed, and ejects a server of which another one has failed
-// with no answer in between. What any server loses singly (an idle connection that was closed as a request
-// was written) is no failure: its load would move to the others just as their connections break too.
+// ejectIfUnreachable records a connection failure. It ejects the server if the previous one failed too, with
+// no response in between. A single failure is normal (an idle connection was closed as a request was
+// written). Ejecting for it would move the load to the other servers just as their connections break too.
 func (b *Balancer) ejectIfUnreachable(now time.Duration, s *server) bool {
-	again := s.lastResponseAt < s.connFailedAt
+	failedTwice := s.lastResponseAt < s.connFailedAt
 	s.connFailedAt = now
-	if again {
+	if failedTwice {
 		b.eject(now, s, "failing")
 	}
-	return again
+	return failedTwice
 }
--- a/lbpolicy/load.go
+++ b/lbpolicy/load.go
@@ -1,6 +1,6 @@
 package lbpolicy
 
-// This file: the load of the pool, and how much time a request needs.
+// The load of the pool, and how much time a request needs.
 
 import (
 	"math"
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Bounds and time constants of the base latency, in seconds.
+// Bounds and time constants of the base latency and of the target latency.
 const (
-	minTargetMultiple   = 1.5 // of the base latency, below which the target latency does not go
-	baseLatencyDownTime = 0.5
-	baseLatencyUpTime   = 20
-	maxBaseLatencyDivisor        = 3 // the objective over the largest base latency
-	minBaseLatency      = 1e-4
+	minTargetMultiple     = 1.5  // of the base latency; the target latency is never lower
+	baseLatencyDownTime   = 0.5  // time constant when the latency is lower, in seconds
+	baseLatencyUpTime     = 20   // time constant when it is higher, in seconds
+	maxBaseLatencyDivisor = 3    // the base latency is at most the objective divided by this
+	minBaseLatency        = 1e-4 // in seconds
 )
 
-// poolLoad returns the load of the pool over its target: above 1 the cursor moves right.
+// poolLoad returns the load of the pool relative to its target. Above 1 the cursor moves right.
 func (b *Balancer) poolLoad(now time.Duration, dt float64) float64 {
-	keep := math.Exp(-dt / (smoothingShare * b.meanObjective))
-	b.outcomeCount *= keep
-	b.latencySum *= keep
-	b.fullCount *= keep
-	b.errorCount *= keep
+	decay := math.Exp(-dt / (smoothingShare * b.meanObjective))
+	b.outcomeCount *= decay
+	b.latencySum *= decay
+	b.fullCount *= decay
+	b.errorCount *= decay
 	load := b.latencyLoad(dt)
 	if !slices.Contains(b.settings.ReportFields, FieldUtilization) {
 		return load
@@ -32,15 +32,15 @@
 	switch {
 	case reports == 0:
 		return load
-	case b.settings.Tier > 0: // a request that other tiers have worked on is not rejected if it is in time
+	case b.settings.Tier > 0: // other tiers have already worked on a request: keep it if it is in time
 		return min(load, utilization/targetUtilization)
 	}
 	return max(load, utilization/targetUtilization)
 }
 
-// latencyLoad is the load by latency and by answers that reject as full. Answers tell of requests admitted
-// some time ago; requests in flight over answers per second is the latency of one admitted now (Little's
-// law). Both must be high.
+// latencyLoad returns the load by latency and by attempts that servers reject as full. The measured latency
+// is that of requests admitted some time ago. Requests in flight divided by responses per second is the
+// latency of a request admitted now (Little's law). Both must be high.
 func (b *Balancer) latencyLoad(dt float64) float64 {
 	if b.outcomeCount < minSamples {
 		return 0
@@ -48,12 +48,12 @@
 	latency := b.latencySum / b.outcomeCount
 	b.updateBaseLatency(latency, dt)
 	target := max(targetLatencyShare*b.meanObjective, minTargetMultiple*b.baseLatency)
-	span := smoothingShare * b.meanObjective // the answers counted span it
-	upcoming := float64(b.queueLength()) * span / max(b.outcomeCount-b.fullCount, minSamples)
-	return min(latency, upcoming)/target + serverFullWeight*b.fullCount/b.outcomeCount
+	window := smoothingShare * b.meanObjective // seconds that outcomeCount covers
+	queueLatency := float64(b.queueLength()) * window / max(b.outcomeCount-b.fullCount, minSamples)
+	return min(latency, queueLatency)/target + serverFullWeight*b.fullCount/b.outcomeCount
 }
 
-// reportedUtilization returns the mean utilization that the servers of the subset report.
+// reportedUtilization returns the mean of the recent utilization reports of the subset, and their number.
 func (b *Balancer) reportedUtilization(now time.Duration) (mean float64, reports int) {
 	sum := 0.0
 	for _, s := range b.subset {
@@ -65,8 +65,9 @@
 	return sum / float64(reports), reports
 }
 
-// updateBaseLatency follows the quiet latency: down fast, up slowly and only while nothing is shed, never
-// above what the objective allows. So a balancer that starts in an overload does not learn it as normal.
+// updateBaseLatency follows the latency at low load: down fast, and up slowly. It rises only while no load is
+// shed and never above the share of the objective that maxBaseLatencyDivisor allows. So a balancer that
+// starts in an overload does not take its latency as normal.
 func (b *Balancer) updateBaseLatency(latency, dt float64) {
 	b.baseLearned = true
 	switch {
@@ -79,7 +80,7 @@
 	b.baseLatency = max(b.baseLatency, minBaseLatency)
 }
 
-// usualLatency is the present latency of the pool, in seconds.
+// usualLatency returns the present latency of the pool in seconds, at least the base latency.
 func (b *Balancer) usualLatency() float64 {
 	if b.outcomeCount < minSamples {
 		return b.baseLatency
@@ -87,17 +88,17 @@
 	return max(b.baseLatency, b.latencySum/b.outcomeCount)
 }
 
-// expectedLatency is the time in which expectedLatencyQuantile of a class's requests are answered.
+// expectedLatency is the time within which expectedLatencyQuantile of a class's requests get a response.
 type expectedLatency struct {
-	seconds   float64 // 0: not known
+	seconds   float64 // 0: unknown
 	samples   float64 // attempts observed
 	updatedAt time.Duration
 }
 
-// observe adjusts the time by one attempt: each answer in less time lowers it, and each attempt that took
-// longer raises it, with an answer or not. An attempt that ended sooner without an answer says nothing.
+// observe adjusts the expected latency by one attempt. A response in less time lowers it. An attempt that ran
+// and took longer raises it, with a response or without. Other attempts are ignored.
 func (e *expectedLatency) observe(now time.Duration, v Verdict, latency float64) {
-	step := max(expectedLatencyStep, 1/(1+e.samples)) // the first samples count for more
+	step := max(expectedLatencyStep, 1/(1+e.samples)) // the first samples have more weight
 	switch {
 	case v == OK && e.seconds == 0:
 		e.seconds = latency
@@ -112,22 +113,23 @@
 	e.updatedAt = now
 }
 
-// memoryDecay is the factor by which old knowledge has faded.
+// memoryDecay returns the factor by which a value of this age has decayed without new attempts.
 func memoryDecay(age time.Duration) float64 {
 	return math.Exp(-age.Seconds() / expectedLatencyMemory.Seconds())
 }
 
-// hasTooLittleTime reports whether a request is unlikely to end in the time that is left. It would take work
-// from all tiers behind and end as an error in each, whereas its client, rejected at once, can come back with
-// more time. Clients that never have more time than a third of the requests take are served by chance, since
-// what is not observed is forgotten. A request that other tiers have worked on needs half of that time.
+// hasTooLittleTime reports whether a request is unlikely to complete in the time left. Such a request costs
+// work in all deeper tiers and ends as an error in each, while a client that is rejected at once can retry
+// with more time. Expected latencies decay without new attempts. So some requests are sent even for clients
+// that never have more time than the fastest third of requests takes. A request that other tiers have worked
+// on needs only half of the expected latency.
 func (b *Balancer) hasTooLittleTime(now time.Duration, r *request, left float64) bool {
 	needed := r.expected.seconds * memoryDecay(now-r.expected.updatedAt)
 	if b.settings.Tier > 0 {
 		needed /= 2
 	}
 	floor := b.baseLatency / 2
-	if !b.baseLearned { // a guess must fade, or clients that never have more time would never be served
+	if !b.baseLearned { // an estimate must decay, or clients that always have less time are never served
 		floor = min(b.baseLatency, r.class.LatencyObjective.Seconds()/4) / 2
 		floor *= memoryDecay(now - b.startedAt)
 	}
--- a/lbpolicy/ranking.go
+++ b/lbpolicy/ranking.go
@@ -1,6 +1,6 @@
 package lbpolicy
 
-// This file: which server the next attempt goes to.
+// Selection of the server for the next attempt.
 
 import (
 	"math"
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Weights of prices in the ranking.
+// Weights of the prices in the score: a price multiplies it by 1 + weight x price.
 const (
 	crossZoneWeight = 70
 	handshakeWeight = 5
 )
 
-// score ranks a server for the next attempt, the lowest first: smoothed latency x queue, both relative to its
-// capacity. A cross-zone request or a new connection counts as latency in proportion to its price.
+// score rates a server for the next attempt; the lowest score is the best. It is the smoothed latency times
+// the queue, both relative to the server's capacity. A cross-zone request or a new connection raises the
+// score by a factor, in proportion to its price.
 func (b *Balancer) score(now time.Duration, s *server) float64 {
 	capacity := b.capacity(now, s)
 	latency := s.latency
@@ -23,7 +24,7 @@
 		latency = b.usualLatency() / capacity
 	}
 	latency = max(latency, s.unansweredSeconds)
-	if b.weightsDiffer { // a slow server has more requests in flight, which counts already
+	if b.weightsDiffer { // the requests in flight already show a slow server
 		latency = 1
 	}
 	queue := float64(s.inFlight-s.dispatchPending) / (capacity * s.Weight)
@@ -38,8 +39,9 @@
 	return score
 }
 
-// pick returns the server of the request's next attempt, or nil. A server that is due a probe or is warming
-// up gets the request if an even draw over the subset finds it; otherwise the best-ranked server does.
+// pick returns the server for the request's next attempt, or nil. One server is drawn evenly from the subset.
+// It gets the request if it is due a probe, or if it is warming up and drawWarmingUp selects it. Otherwise
+// the best-ranked server gets the request.
 func (b *Balancer) pick(now time.Duration, r *request) *server {
 	n := len(b.subset)
 	if n == 0 {
@@ -63,22 +65,22 @@
 	return b.pickFallback(now, r)
 }
 
-// bestRanked returns the best-ranked server of the subset, or of a sample of a large one.
+// bestRanked returns the best-ranked server of the subset, or of a random sample if the subset is large.
 func (b *Balancer) bestRanked(now time.Duration, r *request, start int) *server {
 	n := len(b.subset)
 	inPanic := b.isInPanic()
 	best, bestScore := (*server)(nil), math.Inf(1)
 	for i := range min(n, maxRankedServers) {
-		at := (start + i) % n
+		index := (start + i) % n
 		if n > maxRankedServers {
-			at = b.random.IntN(n)
+			index = b.random.IntN(n)
 		}
-		s := b.subset[at]
+		s := b.subset[index]
 		if s.ejected && !inPanic || !b.maySend(now, r, s) || !b.hasBudget(now, s) {
 			continue
 		}
 		score := b.score(now, s)
-		if b.weightsDiffer { // a weighted draw: the best alone would get all while few requests are in flight
+		if b.weightsDiffer { // weighted draw: else one server gets all while few requests are in flight
 			score *= b.random.ExpFloat64() / s.Weight
 		}
 		if score < bestScore {
@@ -88,15 +90,16 @@
 	return best
 }
 
-// isInPanic reports whether so many servers are ejected that the fault is not in single servers: many of them
-// in the last period, or all by now, as requests must not be rejected until the next one.
+// isInPanic reports whether so many servers are ejected that single servers cannot be the cause: more than
+// panicThreshold at the last check, or all by now. The second rule keeps requests from being rejected until
+// the next check.
 func (b *Balancer) isInPanic() bool {
 	inUse := slices.ContainsFunc(b.subset, func(s *server) bool { return !s.ejected })
 	return !inUse || float64(b.ejectedCount) > panicThreshold*float64(len(b.subset))
 }
 
-// pickFallback looks beyond the sample and the subset. Servers that are warming up come last, as any balancer may
-// send to them there.
+// pickFallback searches all listed servers. Those that are warming up come last: any balancer may send to
+// them here, so their budget is shared among all balancers.
 func (b *Balancer) pickFallback(now time.Duration, r *request) *server {
 	n := len(b.listed)
 	start := b.random.IntN(n)
--- a/lbpolicy/report.go
+++ b/lbpolicy/report.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// This file: what a balancer reports of itself.
+// What a balancer reports about itself.
 
-// CountEjected returns how many of the listed servers get no requests now except probes, because of operators
-// or of outlier ejection. In panic, ejected servers are used all the same.
+// CountEjected returns how many listed servers get no requests except probes, because of operators or outlier
+// ejection. In panic, servers ejected as outliers do get requests and do not count.
 func (b *Balancer) CountEjected() int {
 	manually, outliers := 0, 0
 	for _, s := range b.listed {
@@ -24,13 +24,13 @@
 	return manually + outliers
 }
 
-// describeSilence tells for how long a server's requests have waited.
+// describeSilence describes how long a server's requests have waited, for the log line of its ejection.
 func describeSilence(now time.Duration, s *server, progress ServerProgress) string {
-	first := now - progress.WaitsSince
-	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.unansweredSeconds, s.waited, first.Seconds())
+	longest := now - progress.WaitsSince
+	return fmt.Sprintf("silent for %.3f s, summed wait of all requests %.3f s, longest wait %.3f s", s.unansweredSeconds, s.waited, longest.Seconds())
 }
 
-// describeHedge describes the hedge of a request, before it is sent.
+// describeHedge describes a hedged request before it is sent. The attempt in flight has the number n.
 func (b *Balancer) describeHedge(now time.Duration, r *request, n int) Hedge {
 	a := &r.attempts[n]
 	reason := HedgeSilent
--- a/lbpolicy/requests.go
+++ b/lbpolicy/requests.go
@@ -1,33 +1,34 @@
 package lbpolicy
 
-// This file: what is recorded of a request in progress: its client, its body, its key, how long its server keeps it
-// waiting, and waits that are not caused by a server. What follows from them is decided in attempt.go and health.go.
+// State of requests in progress: the client, the body, the idempotency key, the time that servers keep
+// requests waiting, and waits that servers do not cause. The decisions that follow are in attempt.go and
+// health.go.
 
 import (
 	"slices"
 	"time"
 )
 
-func (b *Balancer) newRequest(now time.Duration, q Request) *request {
+func (b *Balancer) newRequest(now time.Duration, req Request) *request {
 	r := &request{
-		id:          q.ID,
-		class:       q.ClassAtArrival,
-		expected:    b.expected[q.Class],
-		deadline:    now + q.TimeLeft,
+		id:          req.ID,
+		class:       req.ClassAtArrival,
+		expected:    b.expected[req.Class],
+		deadline:    now + req.TimeLeft,
 		maxAttempts: b.settings.MaxAttempts,
-		keyState:    q.KeyState,
+		keyState:    req.KeyState,
 	}
 	if r.class == nil {
-		r.class = &b.settings.Classes[q.Class]
+		r.class = &b.settings.Classes[req.Class]
 	}
-	if q.MaxAttempts > 0 {
-		r.maxAttempts = min(r.maxAttempts, q.MaxAttempts)
+	if req.MaxAttempts > 0 {
+		r.maxAttempts = min(r.maxAttempts, req.MaxAttempts)
 	}
 	return r
 }
 
-// release forgets a finished request once none of its attempts is in flight; those that are get cancelled
-// where that is allowed.
+// release removes a finished request once none of its attempts is in flight. Attempts still in flight are
+// cancelled if the settings allow that.
 func (b *Balancer) release(r *request) {
 	for i := range r.attempts {
 		if !r.attempts[i].ended && b.settings.MayCancel {
@@ -39,24 +40,25 @@
 	}
 }
 
-// ResponseStarted records that the response to a streamed request has begun: it belongs to the client, and no
+// ResponseStarted records that the response to a streamed request has begun. The client receives it, so no
 // further attempt is made.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID) {
 	b.update(now, id, func(r *request) { r.done = true })
 }
 
-// MarkNotReplayable records that no further attempt of a request is possible: its body is consumed.
+// MarkNotReplayable records that the body of a request is consumed, so that no further attempt is possible.
 func (b *Balancer) MarkNotReplayable(now time.Duration, id RequestID) {
 	b.update(now, id, func(r *request) { r.maxAttempts = len(r.attempts) })
 }
 
-// RequestBodyReceived records that a request is complete only now, while it is being sent: its time starts
-// here.
+// RequestBodyReceived records that the body of a request has arrived completely, while the request is already
+// being sent. The time left to the client counts from now.
 func (b *Balancer) RequestBodyReceived(now time.Duration, id RequestID, timeLeft time.Duration) {
 	b.update(now, id, func(r *request) { r.deadline = now + timeLeft })
 }
 
-// KeyStateUpdated sets what has become known of a request's key since it arrived.
+// KeyStateUpdated replaces the state of a request's idempotency key, which may have changed since the request
+// arrived.
 func (b *Balancer) KeyStateUpdated(now time.Duration, id RequestID, state KeyState) {
 	b.update(now, id, func(r *request) { r.keyState = state })
 }
@@ -68,8 +70,8 @@
 	}
 }
 
-// SetDispatchPending records that an attempt waits for something that its server has not caused, or no longer
-// does. Such a wait does not make the server unresponsive.
+// SetDispatchPending records whether an attempt waits for something that its server does not cause, or no
+// longer causes. Such a wait does not count towards ejecting the server as unresponsive.
 func (b *Balancer) SetDispatchPending(now time.Duration, id RequestID, attempt int, pending bool) {
 	b.advance(now)
 	r := b.requests[id]
@@ -97,7 +99,7 @@
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended })
 }
 
-// ClientDisconnected records that the client has disconnected: no answer is due.
+// ClientDisconnected records that the client has disconnected. No response is due.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	b.advance(now)
 	if r := b.requests[id]; r != nil && !r.done {
@@ -106,7 +108,8 @@
 	}
 }
 
-// accumulateWait adds up how long a server's requests have waited since it last answered.
+// accumulateWait adds the time since its last call to the summed wait of the server's requests, and to the
+// server's time without a response.
 func (s *server) accumulateWait(now time.Duration) {
 	if waiting := s.inFlight - s.dispatchPending; waiting > 0 {
 		dt := (now - s.waitedAt).Seconds()
@@ -116,5 +119,5 @@
 	s.waitedAt = now
 }
 
-// clearWait is called when a server has answered, or is ejected.
+// clearWait resets the wait when a server has responded or is ejected.
 func (s *server) clearWait() { s.waited, s.unansweredSeconds = 0, 0 }
--- a/lbpolicy/settings.go
+++ b/lbpolicy/settings.go
@@ -1,6 +1,6 @@
 package lbpolicy
 
-// This file: settings, at the start and when they change. It decides nothing about any request.
+// Settings, at the start and when they change. Nothing here decides about requests.
 
 import (
 	"errors"
@@ -12,11 +12,11 @@
 )
 
 const (
-	randomStream       = 1 // of the generator, beside the seed
-	initialRetryBudget = 3 // attempts
-	initialBaseLatencyDivisor   = 4 // the objective over the first guess of the base latency
-	minPeriod          = 50 * time.Millisecond
-	maxPeriod          = time.Second
+	randomStream              = 1 // second part of the generator's seed
+	initialRetryBudget        = 3 // attempts
+	initialBaseLatencyDivisor = 4 // the mean objective divided by this is the first base latency
+	minPeriod                 = 50 * time.Millisecond
+	maxPeriod                 = time.Second
 )
 
 // New returns a balancer without servers. An error names the invalid setting.
@@ -37,10 +37,10 @@
 	return b, nil
 }
 
-// Configure puts new settings in force. Classes and tenants are matched by their names. The cursor, what was
-// measured of servers and classes, and manual ejections are kept. A request in progress keeps the class that
-// it arrived with, and gets no more attempts than both the old and the new settings allow. After an error
-// nothing has changed.
+// Configure applies new settings. Classes and tenants are matched to the old ones by name. The cursor, the
+// measurements of servers and classes, and manual ejections are kept. A request in progress keeps the class
+// with which it arrived. It gets no more attempts than both the old and the new settings allow. After an
+// error, the old settings remain unchanged.
 func (b *Balancer) Configure(now time.Duration, settings Settings) error {
 	if err := validate(&settings); err != nil {
 		return err
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// SetDropFraction sets the fraction of the traffic to reject, whatever the load: somebody with a wider view
-// than this balancer requests it.
+// SetDropFraction sets the fraction of the requests to reject at any load. The value comes from a component
+// that sees more of the system than this balancer.
 func (b *Balancer) SetDropFraction(now time.Duration, fraction float64) {
 	b.advance(now)
 	b.dropFraction = min(max(fraction, 0), 1)
 }
 
-// apply applies valid settings.
+// apply applies settings that have been validated.
 func (b *Balancer) apply(settings Settings) {
 	old := b.settings
 	b.settings = settings
@@ -72,10 +72,10 @@
 	b.rebuildTable()
 }
 
-// duration converts seconds.
+// duration converts seconds to a time.Duration.
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// applyClasses keeps the expected latencies of the classes that had their name before.
+// applyClasses keeps the expected latencies of classes whose names occur in the old settings.
 func (b *Balancer) applyClasses(old []Class) {
 	classes := b.settings.Classes
 	expected := make([]*expectedLatency, len(classes))
@@ -91,7 +91,7 @@
 	b.expected = expected
 }
 
-// applyTenants keeps the tokens of the tenants that had their name before.
+// applyTenants keeps the tokens of tenants whose names occur in the old settings.
 func (b *Balancer) applyTenants() {
 	tenants := make([]tenant, 0, len(b.settings.Tenants))
 	b.totalQuota = 0
@@ -108,7 +108,8 @@
 	b.tenants = tenants
 }
 
-// rebuildTable builds the cursor table, and keeps the rates by level where the number of levels is the same.
+// rebuildTable builds the cursor table for the new settings. It keeps the rates by level if the number of
+// levels is the same.
 func (b *Balancer) rebuildTable() {
 	rows := len(b.table)
 	arrivals, rates := b.levelArrivals, b.levelRates
@@ -125,27 +126,27 @@
 	case len(s.Classes) == 0:
 		return errors.New("lbpolicy: Classes: none")
 	case s.Balancers < 1:
-		return errors.New("lbpolicy: Balancers: must be at least 1")
+		return errors.New("lbpolicy: Balancers must be at least 1")
 	case s.Index < 0 || s.Tier < 0 || s.Zone < 0:
-		return errors.New("lbpolicy: Index, Tier, Zone: must not be negative")
+		return errors.New("lbpolicy: Index, Tier and Zone must not be negative")
 	case s.MaxAttempts < 1:
-		return errors.New("lbpolicy: MaxAttempts: must be at least 1")
+		return errors.New("lbpolicy: MaxAttempts must be at least 1")
 	case math.IsNaN(s.InitialCapacity + s.OverloadMultiple + s.CrossZonePrice + s.HandshakePrice):
-		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple or a price is no number")
+		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple and prices must not be NaN")
 	case min(s.InitialCapacity, s.OverloadMultiple, s.CrossZonePrice, s.HandshakePrice) < 0:
-		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple and prices: must not be negative")
+		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple and prices must not be negative")
 	case min(s.SlowStart, s.OverloadWindow, s.MaxPollInterval, s.MaxRetryAfter, s.ConnIdleTimeout) < 0:
-		return errors.New("lbpolicy: SlowStart, OverloadWindow, MaxPollInterval, MaxRetryAfter or " +
-			"ConnIdleTimeout is negative")
+		return errors.New("lbpolicy: SlowStart, OverloadWindow, MaxPollInterval, MaxRetryAfter and " +
+			"ConnIdleTimeout must not be negative")
 	}
 	return errors.Join(validateClasses(s.Classes), validateTenants(s.Tenants))
 }
 
 func validateClasses(classes []Class) error {
 	for i, c := range classes {
-		unknown := c.Effect > NonIdempotent || c.Scope > ScopeCell
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || min(c.PriorityWeight, c.Window.Seconds()) < 0 || unknown {
-			return fmt.Errorf("lbpolicy: Classes[%d]: objective and deadline must be positive, the rest known", i)
+		hasUnknown := c.Effect > NonIdempotent || c.Scope > ScopeCell
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || min(c.PriorityWeight, c.Window.Seconds()) < 0 || hasUnknown {
+			return fmt.Errorf("lbpolicy: Classes[%d]: LatencyObjective and Deadline must be positive, the rest not negative and known", i)
 		}
 	}
 	return nil
@@ -154,7 +155,7 @@
 func validateTenants(tenants []Tenant) error {
 	for i, t := range tenants {
 		if t.QuotaPerSecond < 0 {
-			return fmt.Errorf("lbpolicy: Tenants[%d].QuotaPerSecond: negative", i)
+			return fmt.Errorf("lbpolicy: Tenants[%d].QuotaPerSecond must not be negative", i)
 		}
 	}
 	return nil
--- a/lbpolicy/snapshot.go
+++ b/lbpolicy/snapshot.go
@@ -1,14 +1,14 @@
 package lbpolicy
 
-// This file: what a balancer hands to its successor. It decides nothing about any request.
+// The state that a balancer passes to its successor. Nothing here decides about requests.
 
 import (
 	"math"
 	"time"
 )
 
-// Snapshot is what a balancer has measured that a successor can use. Times are ages at the time of the
-// snapshot. The JSON names are part of the hand-over protocol.
+// Snapshot holds the measurements of a balancer that a successor can use. Times are ages at the time of the
+// snapshot. The JSON names are part of the handover protocol.
 type Snapshot struct {
 	Cursor            int              `json:"Cursor"`
 	SinceStart        time.Duration    `json:"Started"`
@@ -17,7 +17,7 @@
 	SlowRate          float64          `json:"Avg"`
 	ArrivalRate       float64          `json:"Asking"`
 	ServerCapacity    float64          `json:"Full"`
-	OutcomeCount       float64          `json:"Answers"`
+	OutcomeCount      float64          `json:"Answers"`
 	LatencySum        float64          `json:"LatSum"`
 	FullCount         float64          `json:"Fulls"`
 	ErrorCount        float64          `json:"Errs"`
@@ -25,7 +25,7 @@
 	Servers           []ServerSnapshot `json:"Servers"`
 }
 
-// ClassSnapshot is the expected latency of a class.
+// ClassSnapshot holds the expected latency of a class.
 type ClassSnapshot struct {
 	Class   string        `json:"Class"`
 	Seconds float64       `json:"In"`
@@ -33,25 +33,25 @@
 	Age     time.Duration `json:"Ago"`
 }
 
-// ServerSnapshot is what is known of one server.
+// ServerSnapshot holds the measurements of one server.
 type ServerSnapshot struct {
 	ID               ServerID      `json:"ID"`
-	StartedAt        time.Duration `json:"StartedAt"` // as listed: it must be the same process
+	StartedAt        time.Duration `json:"StartedAt"` // as listed; another start means another process
 	Latency          float64       `json:"Lat"`
 	ErrorRatio       float64       `json:"Bad"`
 	ReportedCapacity float64       `json:"Rate"`
 	Utilization      float64       `json:"Util"`
-	ReportAge        time.Duration `json:"Reported"` // 0: it has reported nothing
+	ReportAge        time.Duration `json:"Reported"` // 0: no load report yet
 	Ejected          bool          `json:"Out"`
-	EjectedFor       time.Duration `json:"OutFor"` // until a probe
+	EjectedFor       time.Duration `json:"OutFor"` // time until a probe
 	Ejections        int           `json:"Outs"`
 	SlowStartBudget  float64       `json:"Budget"`
 }
 
-// maxBudgetMagnitude bounds what is believed of a budget.
+// maxBudgetMagnitude limits the slow-start budgets that are accepted from a snapshot.
 const maxBudgetMagnitude = 1e6
 
-// Snapshot returns what the balancer has measured.
+// Snapshot returns the measurements of the balancer.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	b.advance(now)
 	snapshot := Snapshot{
@@ -61,7 +61,7 @@
 		SlowRate:       b.slowRate,
 		ArrivalRate:    b.arrivalRate,
 		ServerCapacity: b.serverCapacity,
-		OutcomeCount:    b.outcomeCount,
+		OutcomeCount:   b.outcomeCount,
 		LatencySum:     b.latencySum,
 		FullCount:      b.fullCount,
 		ErrorCount:     b.errorCount,
@@ -100,8 +100,8 @@
 	return snapshot
 }
 
-// Restore applies the snapshot of another balancer. Unknown servers and classes, and values that no balancer
-// can have measured, are ignored. It is for a balancer that has had no requests yet.
+// Restore applies the snapshot of another balancer. Unknown servers and classes are ignored, and so are
+// implausible values. It is meant for a balancer that has had no requests yet.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	b.advance(now)
 	if !snapshot.isValid() {
@@ -159,7 +159,7 @@
 	return budgetIsValid && arePlausible(s.Latency, s.ErrorRatio, s.ReportedCapacity, s.Utilization)
 }
 
-// arePlausible reports whether values are numbers that can be measured.
+// arePlausible reports whether all values are finite, non-negative numbers that a balancer can have measured.
 func arePlausible(values ...float64) bool {
 	for _, v := range values {
 		if !(v >= 0 && v < math.MaxFloat32) {
--- a/lbpolicy/subset.go
+++ b/lbpolicy/subset.go
@@ -1,13 +1,13 @@
 package lbpolicy
 
-// This file: which of the listed servers a balancer uses.
+// Selection of the listed servers that a balancer uses.
 
 import (
 	"math"
 	"time"
 )
 
-// restoredServer returns a server that has come back from a manual ejection, for its first request.
+// restoredServer returns a server that an operator has restored and that is due its first request, or nil.
 func (b *Balancer) restoredServer(now time.Duration, r *request) *server {
 	b.firstRequestsDue = 0
 	var restored *server
@@ -24,17 +24,18 @@
 	return restored
 }
 
-// targetSubsetSize returns how many servers the subset should have: enough that each server is known to a few
-// balancers, and room for the requests of this one and for ejected servers.
+// targetSubsetSize returns how many servers the subset should have. Each server should be in the subsets of
+// balancersPerServer balancers. The subset also needs room for this balancer's requests and for ejected
+// servers.
 func (b *Balancer) targetSubsetSize() int {
 	perBalancer := balancersPerServer * float64(len(b.listed)) / float64(b.settings.Balancers)
 	size := max(minSubsetSize, int(math.Ceil(perBalancer)), int(2*b.baselineInFlight()))
 	return size + b.ejectedCount
 }
 
-// updateSubset picks the servers that this balancer uses: consecutive ones in the hashed order, from this
-// balancer's own place on, so that all servers are covered evenly, and each balancer meets few of them often
-// enough to know them.
+// updateSubset selects the servers that this balancer uses: consecutive ones in hash order, from a start that
+// depends on the balancer's index. So all servers are covered evenly, and each balancer sends to few servers,
+// often enough to measure them.
 func (b *Balancer) updateSubset() {
 	b.subsetSize = max(b.subsetSize, b.targetSubsetSize())
 	local, others := b.eligibleServers()
@@ -42,7 +43,7 @@
 	b.subset = b.subset[:0]
 	b.addToSubset(local, localCount)
 	b.addToSubset(others, b.subsetSize-localCount)
-	b.ejectedCount = 0 // of the new subset: if all are ejected, they are used
+	b.ejectedCount = 0 // recount: if all of the new subset are ejected, they are used
 	for _, s := range b.subset {
 		if s.ejected {
 			b.ejectedCount++
@@ -50,8 +51,8 @@
 	}
 }
 
-// eligibleServers returns the servers that may get requests, apart from those of this zone where crossing
-// zones has a price. It notes whether they differ in weight.
+// eligibleServers returns the servers that may get requests. If crossing zones has a price, those of this
+// balancer's zone are in local. It also sets weightsDiffer.
 func (b *Balancer) eligibleServers() (local, others []*server) {
 	b.weightsDiffer = false
 	var previous *server
--- a/lbpolicy/table.go
+++ b/lbpolicy/table.go
@@ -1,6 +1,6 @@
 package lbpolicy
 
-// This file: the cursor table, which decides which requests are admitted.
+// The cursor table, which decides which requests are admitted.
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// buildTable lays out one row per priority weight, the lowest first, below a row for lowestLevel. All rows
-// stand near T1 in the resting slots. To the right, the lowest row falls to nothing first, then the next: a
+// buildTable builds one row for each priority weight, the lowest first, below a row for lowestLevel. All rows
+// are near T1 in the resting slots. To the right, the lowest row falls to zero first, then the next one. So a
 // request is rejected only when shedding all lower levels is not enough (paper 3.3).
 func (b *Balancer) buildTable() {
 	var weights []float64
@@ -31,7 +31,7 @@
 	}
 }
 
-// minTopThreshold keeps the highest level from being rejected altogether.
+// minTopThreshold keeps the highest level from being rejected entirely, as a share of T1.
 const minTopThreshold = 0.05
 
 // tableRow returns the thresholds of one level, as shares of T1.
@@ -39,15 +39,15 @@
 	row := make([]float64, restingSlots+rows*slotsPerLevel)
 	for slot := range row {
 		steps := float64(slot - restingSlots + 1)
-		own := steps - float64(level*slotsPerLevel) // past the shedding of all lower levels
+		ownSteps := steps - float64(level*slotsPerLevel) // after all lower levels are shed
 		switch {
 		case steps <= 0:
 			row[slot] = 1 - restingSpread*float64(rows-1-level)/float64(rows-1)
-		case own <= 0:
+		case ownSteps <= 0:
 			fall := (sheddingThreshold - ownLevelThreshold) * steps / float64(len(row))
 			row[slot] = min(row[0], sheddingThreshold-fall)
 		default:
-			row[slot] = max(0, ownLevelThreshold*(1-own/slotsPerLevel))
+			row[slot] = max(0, ownLevelThreshold*(1-ownSteps/slotsPerLevel))
 		}
 	}
 	if level == rows-1 {
@@ -67,27 +67,27 @@
 	return objective
 }
 
-// baselineInFlight is the number of requests in flight in quiet times: rate x quiet latency. The higher of two
-// smoothed rates counts, so that a balancer that suddenly gets more traffic does not reject it for being new.
+// baselineInFlight returns the requests in flight at low load: rate x base latency. The higher of the two
+// smoothed rates is used, so that a sudden increase in traffic is not rejected just because it is new.
 func (b *Balancer) baselineInFlight() float64 { return max(b.fastRate, b.slowRate) * b.baseLatency }
 
-// queueLength is the number of requests in flight that the pool's servers have to answer.
+// queueLength is the number of requests in flight that the servers of the pool have to answer.
 func (b *Balancer) queueLength() int { return b.inFlight - b.inFlightEjected - b.dispatchPending }
 
-// threshold returns the threshold under the cursor for a level. A balancer that has just started knows no
-// rate: until it has seen traffic for one latency objective it admits everything in the resting slots, as
-// each restart would otherwise reject what could be served.
+// threshold returns the threshold of a level under the cursor. A balancer that has just started, or resumed
+// after a pause, knows no rate. Until it has seen traffic for one latency objective, it admits everything in
+// the resting slots. Otherwise each restart would reject requests that could be served.
 func (b *Balancer) threshold(now time.Duration, level int) float64 {
-	seen := (now - max(b.startedAt, b.resumedAt)).Seconds()
-	if b.cursor < restingSlots && seen < b.meanObjective {
+	observed := (now - max(b.startedAt, b.resumedAt)).Seconds()
+	if b.cursor < restingSlots && observed < b.meanObjective {
 		return math.Inf(1)
 	}
-	perRate := max(thresholdHeadroom*b.baseLatency, maxQueueShare*b.levelObjectives[level])
-	top := max(b.fastRate, b.slowRate)*perRate + minThreshold
-	return b.table[level][b.cursor] * top
+	queueSeconds := max(thresholdHeadroom*b.baseLatency, maxQueueShare*b.levelObjectives[level])
+	fullThreshold := max(b.fastRate, b.slowRate)*queueSeconds + minThreshold
+	return b.table[level][b.cursor] * fullThreshold
 }
 
-// levelOf returns the level of a request. Quotas of tenants are enforced at the front tier only: requests to
+// levelOf returns the level of a request. Tenant quotas are enforced at the front tier only, as requests to
 // other tiers have passed there.
 func (b *Balancer) levelOf(r Request) int {
 	if r.Retry && b.settings.RetriesMarked {
@@ -104,8 +104,8 @@
 	return b.levels[r.Class]
 }
 
-// advance moves the cursor for the periods that have passed. The phase is drawn from the seed, so that
-// balancers do not move together.
+// advance checks servers and moves the cursor if a period has ended. The phase of the periods is drawn from
+// the seed, so that balancers do not move in step.
 func (b *Balancer) advance(now time.Duration) {
 	if b.nextStep < 0 {
 		b.startedAt, b.lastStep = now, now
@@ -125,9 +125,9 @@
 	b.updateShedding(load)
 }
 
-// moveCursor moves the cursor one step, and back for each missed period. A lasting overload that T1 holds
-// back keeps the load under its target: then priority inversions move the cursor, until the rows of the lower
-// levels are shut.
+// moveCursor moves the cursor one step, and then back by one step for each missed period. In a lasting
+// overload, T1 can keep the load below its target. Then priority inversions move the cursor right, until the
+// rows of the lower levels are at zero.
 func (b *Balancer) moveCursor(overloaded bool, missed int) {
 	if overloaded || b.priorityInversion {
 		b.cursor = min(b.cursor+1, len(b.table[0])-1)
@@ -138,14 +138,14 @@
 	b.cursor = max(b.cursor-missed, 0)
 }
 
-// updateShedding begins to shed when the cursor leaves the resting slots, and ends when it is back.
+// updateShedding starts shedding when the cursor leaves the resting slots, and stops when it is back at 0.
 func (b *Balancer) updateShedding(load float64) {
 	shedding := b.cursor >= restingSlots
 	if shedding == b.shedding || !shedding && b.cursor > 0 {
 		return
 	}
 	b.shedding = shedding
-	b.host.Log(fmt.Sprintf("cursor %d load %.2f in flight %d shedding %t",
+	b.host.Log(fmt.Sprintf("load shedding changed: cursor %d, load %.2f, in flight %d, shedding %t",
 		b.cursor, load, b.inFlight, shedding))
 }
 
@@ -176,9 +176,9 @@
 	}
 }
 
-// trafficShare is the part of all traffic that quotas are enforced against here: an even part, or more where
-// more arrives. A balancer cannot tell a large part of the traffic from an overload, and to take the first
-// for the second would reject tenants within their quota.
+// trafficShare is the share of all traffic against which this balancer enforces quotas: an even share, or
+// more if more arrives. A balancer cannot tell a large share of the traffic from an overload. Mistaking the
+// first for the second would reject tenants within their quota.
 func (b *Balancer) trafficShare() float64 {
 	return max(1/float64(b.settings.Balancers), b.arrivalRate/max(b.totalQuota, 1))
 }
