--- a/lbpolicy/api.go
+++ b/lbpolicy/api.go
@@ -45,19 +45,21 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string        // matches the class in Configure; an empty name matches none
+	Name             string        // Configure matches old and new classes by name, unless it is empty
 	LatencyObjective time.Duration // a response that takes longer has no value
 	Deadline         time.Duration // after which clients give up
 	PriorityWeight   float64       // classes of a lower weight are shed first
 	Effect           Effect
-	Scope            Scope         // for KeyedIdempotent only
-	Window           time.Duration // for KeyedIdempotent only: since the first attempt that may have run
+	Scope            Scope // for KeyedIdempotent only
+	// Window is how long servers drop repeats of a KeyedIdempotent request, from the first attempt that may
+	// have run.
+	Window time.Duration
 }
 
 // Tenant is a customer with a request quota.
 type Tenant struct {
 	QuotaPerSecond float64 // requests over all balancers; 0: no quota
-	Name           string  // matches the tenant in Configure; an empty name matches none
+	Name           string  // Configure matches old and new tenants by name, unless it is empty
 }
 
 // Field identifies one value of a load report.
@@ -82,19 +84,21 @@
 	Classes   []Class
 	Tenants   []Tenant
 
-	RetriesMarked    bool // clients mark their retries
-	PollDiscovery    bool // discovery sends endpoint lists only when polled
-	MaxPollInterval  time.Duration
-	MaxAttempts      int
-	MayCancel        bool // attempts in flight may be cancelled
-	MayHedge         bool // two attempts of one request may be in flight
-	SendsRetryAfter  bool // rejected clients are told when to retry
-	MaxRetryAfter    time.Duration
-	ConnIdleTimeout  time.Duration
-	InitialCapacity  float64       // of a server that has just started, as a share of its full capacity
-	SlowStart        time.Duration // time from a server's start to its full capacity
-	OverloadMultiple float64       // of its present capacity; above, a server in slow start is overloaded
-	OverloadWindow   time.Duration // over which the load of a server in slow start is measured
+	RetriesMarked   bool // clients mark their retries
+	PollDiscovery   bool // discovery sends endpoint lists only when polled
+	MaxPollInterval time.Duration
+	MaxAttempts     int
+	MayCancel       bool // attempts in flight may be cancelled
+	MayHedge        bool // two attempts of one request may be in flight
+	SendsRetryAfter bool // rejected clients are told when to retry
+	MaxRetryAfter   time.Duration
+	ConnIdleTimeout time.Duration
+	InitialCapacity float64       // of a server that has just started, as a share of its full capacity
+	SlowStart       time.Duration // time from a server's start to its full capacity
+	// OverloadMultiple is the load, as a multiple of its present capacity, above which a server in slow start
+	// is overloaded.
+	OverloadMultiple float64
+	OverloadWindow   time.Duration // over which that load is measured
 
 	CrossZonePrice, HandshakePrice float64
 
@@ -137,10 +141,12 @@
 // KeyState is what the host knows about other attempts with the idempotency key of a request. They may belong
 // to earlier requests with the same key, or to requests that are still in progress.
 type KeyState struct {
-	Known       bool          // an attempt may have run or is running; the request stays in its group
+	// Known means that an attempt may have run or is running. The request has to stay in the group of servers
+	// that this attempt was sent to.
+	Known       bool
 	Unavailable bool          // that group has no server that this balancer can use
-	Zone, Cell  int           // of the group; each applies if the class has this scope
-	RetryUntil  time.Duration // the group drops repeats that are sent before this time
+	Zone, Cell  int           // of that group; used if the class has ScopeZone or ScopeCell
+	RetryUntil  time.Duration // repeats that are sent before this time are dropped by the group
 }
 
 // Request is an arriving request.
@@ -162,14 +168,14 @@
 
 // Values of Verdict. ServerFull, ConnectFailed and NotSent prove that the attempt never ran.
 const (
-	OK Verdict = iota
-	Error
-	ServerFull
+	OK         Verdict = iota
+	Error              // the server responded with an error
+	ServerFull         // the server rejected the attempt for lack of capacity
 	Timeout
-	ConnectFailed
-	Reset
+	ConnectFailed // there was no connection, or it broke before the whole request was written
+	Reset         // the connection broke after the attempt was sent
 	Cancelled
-	NotSent
+	NotSent  // the host did not send the whole request
 	Rejected // the request itself is invalid, and every server would reject it
 )
 
@@ -190,8 +196,8 @@
 // ServerProgress describes the attempts at a server whose Outcomes have not been processed yet, as seen on
 // the host's connections.
 type ServerProgress struct {
-	// HasUnreadAnswer means that a response has arrived which the host has not read yet, or for which its
-	// call of Outcome has not returned.
+	// HasUnreadAnswer means that a response has arrived which the host has not read yet, or has read without
+	// its call of Outcome having returned.
 	HasUnreadAnswer bool
 	// WaitsSince is the earliest result of Host.WaitsSince for these attempts, apart from those whose
 	// dispatch is pending. Zero: there is no such attempt.
--- a/lbpolicy/balancer.go
+++ b/lbpolicy/balancer.go
@@ -1,6 +1,6 @@
 // The state and the constants of a balancer. Read api.go first: it declares the types of events and actions.
 // The files table.go, load.go, ranking.go, slowstart.go, health.go, attempt.go and subset.go hold the policy.
-// endpoints.go, requests.go, snapshot.go, report.go and settings.go only record or report.
+// discovery.go polls. endpoints.go, requests.go, snapshot.go, report.go, settings.go only record or report.
 
 package lbpolicy
 
--- a/lbpolicy/settings.go
+++ b/lbpolicy/settings.go
@@ -126,27 +126,27 @@
 	case len(s.Classes) == 0:
 		return errors.New("lbpolicy: Classes: none")
 	case s.Balancers < 1:
-		return errors.New("lbpolicy: Balancers must be at least 1")
+		return errors.New("lbpolicy: Balancers: must be at least 1")
 	case s.Index < 0 || s.Tier < 0 || s.Zone < 0:
-		return errors.New("lbpolicy: Index, Tier and Zone must not be negative")
+		return errors.New("lbpolicy: Index, Tier, Zone: must not be negative")
 	case s.MaxAttempts < 1:
-		return errors.New("lbpolicy: MaxAttempts must be at least 1")
+		return errors.New("lbpolicy: MaxAttempts: must be at least 1")
 	case math.IsNaN(s.InitialCapacity + s.OverloadMultiple + s.CrossZonePrice + s.HandshakePrice):
-		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple and prices must not be NaN")
+		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple or a price is no number")
 	case min(s.InitialCapacity, s.OverloadMultiple, s.CrossZonePrice, s.HandshakePrice) < 0:
-		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple and prices must not be negative")
+		return errors.New("lbpolicy: InitialCapacity, OverloadMultiple and prices: must not be negative")
 	case min(s.SlowStart, s.OverloadWindow, s.MaxPollInterval, s.MaxRetryAfter, s.ConnIdleTimeout) < 0:
-		return errors.New("lbpolicy: SlowStart, OverloadWindow, MaxPollInterval, MaxRetryAfter and " +
-			"ConnIdleTimeout must not be negative")
+		return errors.New("lbpolicy: SlowStart, OverloadWindow, MaxPollInterval, MaxRetryAfter or " +
+			"ConnIdleTimeout is negative")
 	}
 	return errors.Join(validateClasses(s.Classes), validateTenants(s.Tenants))
 }
 
 func validateClasses(classes []Class) error {
 	for i, c := range classes {
-		hasUnknown := c.Effect > NonIdempotent || c.Scope > ScopeCell
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || min(c.PriorityWeight, c.Window.Seconds()) < 0 || hasUnknown {
-			return fmt.Errorf("lbpolicy: Classes[%d]: LatencyObjective and Deadline must be positive, the rest not negative and known", i)
+		unknown := c.Effect > NonIdempotent || c.Scope > ScopeCell
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || min(c.PriorityWeight, c.Window.Seconds()) < 0 || unknown {
+			return fmt.Errorf("lbpolicy: Classes[%d]: objective and deadline must be positive, the rest known", i)
 		}
 	}
 	return nil
@@ -155,7 +155,7 @@
 func validateTenants(tenants []Tenant) error {
 	for i, t := range tenants {
 		if t.QuotaPerSecond < 0 {
-			return fmt.Errorf("lbpolicy: Tenants[%d].QuotaPerSecond must not be negative", i)
+			return fmt.Errorf("lbpolicy: Tenants[%d].QuotaPerSecond: negative", i)
 		}
 	}
 	return nil
--- a/lbpolicy/slowstart.go
+++ b/lbpolicy/slowstart.go
@@ -36,7 +36,8 @@
 	return b.hasBudgetAmong(now, s, max(1, sharingBalancers))
 }
 
-// slowStartBurstDivisor divides the requests of an overload window; that many, or one, can be saved up.
+// slowStartBurstDivisor divides the requests of an overload window; the result, at least one, can be saved
+// up.
 const slowStartBurstDivisor = 4
 
 // hasBudgetAmong is hasBudget for any server to which the given number of balancers may send. The budget
--- a/lbpolicy/table.go
+++ b/lbpolicy/table.go
@@ -145,7 +145,7 @@
 		return
 	}
 	b.shedding = shedding
-	b.host.Log(fmt.Sprintf("load shedding changed: cursor %d, load %.2f, in flight %d, shedding %t",
+	b.host.Log(fmt.Sprintf("cursor %d load %.2f in flight %d shedding %t",
 		b.cursor, load, b.inFlight, shedding))
 }
 
