--- a/lbpolicy/attempt.go
+++ b/lbpolicy/attempt.go
@@ -89,8 +89,9 @@
 }
 
 // maySend reports whether one more attempt is allowed. Rule 1: no attempt after the final response, the
-// deadline or the last allowed attempt. Rule 2: nothing runs twice that must not, and only hedged requests
-// run twice at once. Rule 3: no attempt at a server that is draining, removed or manually ejected.
+// deadline or the last allowed attempt. Rule 2: a request that is not idempotent may run twice only if
+// servers drop the repeat, and two attempts are in flight only with MayHedge. Rule 3: the server must be
+// ready and not manually ejected.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
 	if r.done || now >= r.deadline || b.hasUsedAllAttempts(r) || !s.isEligible() {
 		return false
