--- a/lbpolicy/attempt.go
+++ b/lbpolicy/attempt.go
@@ -88,10 +88,9 @@
 	return len(r.attempts) >= r.maxAttempts || len(r.attempts) >= b.settings.MaxAttempts
 }
 
-// maySend reports whether one more attempt is allowed. Rule 1: no attempt after the final response, the
-// deadline or the last allowed attempt. Rule 2: a request that is not idempotent may run twice only if
-// servers drop the repeat, and two attempts are in flight only with MayHedge. Rule 3: the server must be
-// ready and not manually ejected.
+// maySend reports whether one more attempt is allowed. Rule 1: not after the final response, the deadline or
+// the last allowed attempt. Rule 2: a request that is not idempotent may run twice only if servers drop the
+// repeat, and two attempts are in flight only with MayHedge. Rule 3: the server must be eligible.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
 	if r.done || now >= r.deadline || b.hasUsedAllAttempts(r) || !s.isEligible() {
 		return false
