--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -22,7 +22,7 @@
 	TickInterval = 250 * time.Millisecond
 
 	ticksPerDigest = 4 // ticks from one exchange of digests to the next
-	forgetTicks    = 240
+	ticksPerForget = 240
 	// departedRetention is how long the state of a member that is out is kept, for members that were cut off.
 	departedRetention = 10 * time.Minute
 
@@ -235,7 +235,7 @@
 
 // forgetDeparted forgets the peers that have been out for departedRetention.
 func (c *Core) forgetDeparted() {
-	if c.ticks%forgetTicks != 0 {
+	if c.ticks%ticksPerForget != 0 {
 		return
 	}
 	for name, peer := range c.peers {
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -13,37 +13,37 @@
 	"silvertrail/internal/fleet/version"
 )
 
-var size = flag.Int("members", 100, "how many members the measurement has")
+var memberCount = flag.Int("members", 100, "how many members the measurement has")
 
-// world is members in virtual time, with ways that lose, double and are cut.
-type world struct {
-	rng   *rand.Rand
-	now   time.Duration
-	cores []*Core
-	queue []flight
-	loss  float64
-	cut   map[[2]int]bool
-	sent  int
-	bytes int
-	fault error
+// simulation is members in virtual time, with ways that lose, double and are cut.
+type simulation struct {
+	rng          *rand.Rand
+	now          time.Duration
+	cores        []*Core
+	inFlight     []messageInFlight
+	lossRate     float64
+	blocked      map[[2]int]bool
+	messagesSent int
+	bytesSent    int
+	checkError   error
 }
 
-type flight struct {
-	at       time.Duration
-	from, to int
-	msg      *Message
+type messageInFlight struct {
+	arrivesAt time.Duration
+	from, to  int
+	message   *Message
 }
 
-func name(i int) string { return fmt.Sprintf("m%04d", i) }
+func memberName(i int) string { return fmt.Sprintf("m%04d", i) }
 
-func newWorld(seed uint64, n int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 32)), cut: map[[2]int]bool{}}
+func newSimulation(seed uint64, n int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 32)), blocked: map[[2]int]bool{}}
 	var names []string
 	for i := range n {
-		names = append(names, name(i))
+		names = append(names, memberName(i))
 	}
 	for i := range n {
-		c := New(name(i), w.rng.Uint64(), rand.New(rand.NewPCG(seed, uint64(i))))
+		c := New(memberName(i), w.rng.Uint64(), rand.New(rand.NewPCG(seed, uint64(i))))
 		c.SetMembers(names)
 		w.cores = append(w.cores, c)
 	}
@@ -58,17 +58,17 @@
 	return n
 }
 
-func (w *world) ready(i int) {
+func (w *simulation) sendReady(i int) {
 	for _, s := range w.cores[i].Ready() {
 		var to int
 		fmt.Sscanf(s.To, "m%d", &to)
-		w.sent++
-		w.bytes += s.Message.size()
+		w.messagesSent++
+		w.bytesSent += s.Message.size()
 		if err := s.Message.Check(); err != nil {
-			w.fault = err
+			w.checkError = err
 		}
-		for w.rng.Float64() >= w.loss && !w.cut[[2]int{i, to}] {
-			w.queue = append(w.queue, flight{w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), i, to, s.Message})
+		for w.rng.Float64() >= w.lossRate && !w.blocked[[2]int{i, to}] {
+			w.inFlight = append(w.inFlight, messageInFlight{w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), i, to, s.Message})
 			if w.rng.IntN(10) > 0 { // one in ten comes twice
 				break
 			}
@@ -76,35 +76,35 @@
 	}
 }
 
-// run lets so much time pass, all ticking at about the same times.
-func (w *world) run(d time.Duration) {
+// advance lets so much time pass, all ticking at about the same times.
+func (w *simulation) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += 10 * time.Millisecond {
-		due := w.queue
-		w.queue = nil
+		due := w.inFlight
+		w.inFlight = nil
 		for _, f := range due {
-			if f.at > w.now {
-				w.queue = append(w.queue, f)
+			if f.arrivesAt > w.now {
+				w.inFlight = append(w.inFlight, f)
 				continue
 			}
-			w.cores[f.to].Receive(w.now, name(f.from), f.msg)
-			w.ready(f.to)
+			w.cores[f.to].Receive(w.now, memberName(f.from), f.message)
+			w.sendReady(f.to)
 		}
 		for i, c := range w.cores {
 			if (w.now+time.Duration(i)*7*time.Millisecond)%TickInterval < 10*time.Millisecond {
 				c.Tick(w.now)
-				w.ready(i)
+				w.sendReady(i)
 			}
 		}
 	}
 }
 
-func (w *world) say(i int, v version.Vector) {
+func (w *simulation) announce(i int, v version.Vector) {
 	w.cores[i].Announce(w.now, v, time.UnixMilli(0))
-	w.ready(i)
+	w.sendReady(i)
 }
 
-// agree tells whether all know of all what each acts on.
-func (w *world) agree() bool {
+// allStatesKnown tells whether all know of all what each acts on.
+func (w *simulation) allStatesKnown() bool {
 	for _, c := range w.cores {
 		for _, o := range w.cores {
 			if k := c.peers[o.self.Name]; o.self.Seq > 0 && c != o && (k == nil || k.Incarnation != o.self.Incarnation || k.Seq != o.self.Seq) {
@@ -115,8 +115,8 @@
 	return true
 }
 
-// whole tells whether what all know of all is what each acts on.
-func (w *world) whole() bool {
+// allVectorsMatch tells whether what all know of all is what each acts on.
+func (w *simulation) allVectorsMatch() bool {
 	for _, c := range w.cores {
 		for _, o := range w.cores {
 			if k, ok := c.Peer(o.self.Name); o.self.Seq > 0 && (!ok || !slices.EqualFunc(k.Vector, o.self.Vector, equalEntries)) {
@@ -127,16 +127,16 @@
 	return true
 }
 
-func (w *world) until(t interface{ Fatalf(string, ...any) }, within time.Duration) time.Duration {
+func (w *simulation) awaitConvergence(t interface{ Fatalf(string, ...any) }, within time.Duration) time.Duration {
 	from := w.now
-	for !w.agree() {
+	for !w.allStatesKnown() {
 		if w.now-from > within {
 			t.Fatalf("not known by all after %v", within)
 		}
-		w.run(50 * time.Millisecond)
+		w.advance(50 * time.Millisecond)
 	}
-	if w.fault != nil || !w.whole() {
-		t.Fatalf("what is known is not what is acted on; %v", w.fault)
+	if w.checkError != nil || !w.allVectorsMatch() {
+		t.Fatalf("what is known is not what is acted on; %v", w.checkError)
 	}
 	return w.now - from
 }
@@ -147,54 +147,54 @@
 
 // Members that say one thing after another, start anew with nothing and under their old names, lose and double messages and
 // are cut off for a time, all end up knowing what each acts on, whatever has been lost.
-func TestConvergence(t *testing.T) {
+func TestMembersConvergeAfterLossPartitionAndRestart(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.SampledFrom([]int{2, 3, 5, 12}).Draw(r, "members")
-		w := newWorld(rapid.Uint64().Draw(r, "seed"), n)
-		w.loss = rapid.SampledFrom([]float64{0, 0.3, 0.6}).Draw(r, "loss")
+		w := newSimulation(rapid.Uint64().Draw(r, "seed"), n)
+		w.lossRate = rapid.SampledFrom([]float64{0, 0.3, 0.6}).Draw(r, "loss")
 		vectors := make([]version.Vector, n)
 		for range rapid.IntRange(1, 25).Draw(r, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(r, "who")
 			switch rapid.IntRange(0, 8).Draw(r, "what") {
 			case 0: // another process
-				w.cores[i] = New(name(i), w.rng.Uint64(), w.rng)
-				w.cores[i].SetMembers(namesOf(n))
+				w.cores[i] = New(memberName(i), w.rng.Uint64(), w.rng)
+				w.cores[i].SetMembers(memberNames(n))
 				vectors[i] = nil
-				w.say(i, vectors[i].With(entry(version.Build, "", 1)))
+				w.announce(i, vectors[i].With(entry(version.Build, "", 1)))
 			case 1:
 				for j := range n {
-					w.cut[[2]int{i, j}] = !w.cut[[2]int{i, j}]
+					w.blocked[[2]int{i, j}] = !w.blocked[[2]int{i, j}]
 				}
 			case 2:
 				if len(vectors[i]) > 0 {
 					vectors[i] = vectors[i].Without(vectors[i][0].Kind, vectors[i][0].Name)
-					w.say(i, vectors[i])
+					w.announce(i, vectors[i])
 				}
 			default:
 				kind := rapid.SampledFrom([]version.Kind{version.Configuration, version.List}).Draw(r, "kind")
 				for range rapid.SampledFrom([]int{1, 1, 3, 90}).Draw(r, "how many") {
 					vectors[i] = vectors[i].With(entry(kind, fmt.Sprint(w.rng.IntN(120)), w.rng.IntN(1000)))
 				}
-				w.say(i, vectors[i])
+				w.announce(i, vectors[i])
 			}
-			w.run(time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond)
+			w.advance(time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond)
 		}
-		clear(w.cut)
-		w.until(r, 10*time.Minute) // by two of which one message in six makes its three ways
+		clear(w.blocked)
+		w.awaitConvergence(r, 10*time.Minute) // by two of which one message in six makes its three ways
 	})
 }
 
-func namesOf(n int) (out []string) {
+func memberNames(n int) (out []string) {
 	for i := range n {
-		out = append(out, name(i))
+		out = append(out, memberName(i))
 	}
 	return out
 }
 
 // A word that was said before is never taken for the later one, whoever tells it when; nor one of a process that has been
 // followed by another under its name.
-func TestNoOlderState(t *testing.T) {
+func TestOlderStateIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := New("a", 1, rand.New(rand.NewPCG(1, 1)))
 	old := MemberState{Name: "b", Incarnation: 7, Generation: 1}
@@ -227,7 +227,7 @@
 }
 
 // Of an entry that went long ago one who has been away learns all the same: it is told the whole.
-func TestLongAbsence(t *testing.T) {
+func TestUpdateIsCompleteWhenDeletionsAreForgotten(t *testing.T) {
 	t.Parallel()
 	w := MemberState{Name: "b", Incarnation: 7, Generation: 1}
 	var v version.Vector
@@ -258,7 +258,7 @@
 }
 
 // What nothing but a fault or an attack can send is refused.
-func TestCheck(t *testing.T) {
+func TestCheckRejectsInvalidMessages(t *testing.T) {
 	t.Parallel()
 	w := MemberState{Name: "b", Incarnation: 7, Generation: 1}
 	good := (&w).successor(version.Vector{entry(version.List, "x", 1), entry(version.List, "y", 1)}, 0)
@@ -283,10 +283,10 @@
 
 // How long it takes until all know of one that has changed its configuration, and of all that have, and of a list that has
 // changed everywhere; and what it costs when nothing changes. -members makes it larger, -v prints the figures.
-func TestMeasure(t *testing.T) {
+func TestMeasureConvergence(t *testing.T) {
 	t.Parallel()
-	n := *size
-	w := newWorld(32, n)
+	n := *memberCount
+	w := newSimulation(32, n)
 	vector := func(conf, list int) (v version.Vector) {
 		v = v.With(entry(version.Configuration, "", conf))
 		for i := range 20 {
@@ -295,31 +295,31 @@
 		return v
 	}
 	play := func(what string, do func()) {
-		w.sent, w.bytes = 0, 0
+		w.messagesSent, w.bytesSent = 0, 0
 		from := w.now
 		do()
-		took := w.until(t, 5*time.Minute)
+		took := w.awaitConvergence(t, 5*time.Minute)
 		for w.now-from < 10*time.Second {
-			w.run(time.Second)
+			w.advance(time.Second)
 		}
 		each := func(x int) float64 { return float64(x) / float64(n) / (w.now - from).Seconds() }
-		t.Logf("%d members, %s: known by all after %v; %.1f messages, %.0f bytes a second each over %v", n, what, took, each(w.sent), each(w.bytes), w.now-from)
+		t.Logf("%d members, %s: known by all after %v; %.1f messages, %.0f bytes a second each over %v", n, what, took, each(w.messagesSent), each(w.bytesSent), w.now-from)
 	}
 	play("all begin", func() {
 		for i := range n {
-			w.say(i, vector(1, 1))
+			w.announce(i, vector(1, 1))
 		}
 	})
 	play("nothing changes", func() {})
-	play("one takes a configuration", func() { w.say(n/2, vector(2, 1)) })
+	play("one takes a configuration", func() { w.announce(n/2, vector(2, 1)) })
 	play("all take it", func() {
 		for i := range n {
-			w.say(i, vector(3, 1))
+			w.announce(i, vector(3, 1))
 		}
 	})
 	play("a list changes everywhere", func() {
 		for i := range n {
-			w.say(i, vector(3, 2))
+			w.announce(i, vector(3, 2))
 		}
 	})
 }
--- a/internal/fleet/gossip/state.go
+++ b/internal/fleet/gossip/state.go
@@ -39,7 +39,7 @@
 	}
 	for i, e := range vector {
 		next.ChangedAt[i] = next.Seq
-		if j, ok := slices.BinarySearchFunc(s.Vector, e, version.ByName); ok && equalEntries(s.Vector[j], e) {
+		if j, ok := slices.BinarySearchFunc(s.Vector, e, version.ByKindAndName); ok && equalEntries(s.Vector[j], e) {
 			next.ChangedAt[i] = s.ChangedAt[j]
 		}
 	}
@@ -148,7 +148,7 @@
 		}
 	}
 	for i, e := range u.Changed {
-		j, _ := slices.BinarySearchFunc(vector, e, version.ByName)
+		j, _ := slices.BinarySearchFunc(vector, e, version.ByKindAndName)
 		vector = slices.Insert(vector, j, e)
 		changedAt = slices.Insert(changedAt, j, u.ChangedAt[i])
 	}
--- a/internal/fleet/ownership/model_test.go
+++ b/internal/fleet/ownership/model_test.go
@@ -15,7 +15,7 @@
 	"silvertrail/lbpolicy"
 )
 
-var deep = flag.Int("deep", 2, "depth of the exhaustive search")
+var searchDepth = flag.Int("deep", 2, "depth of the exhaustive search")
 
 // The model drives the voters and askers that run in service through every order of events up to a depth: three processes,
 // each of them a voter, that ask for two keys in two zones, while messages are lost, doubled and overtaken, processes die
@@ -25,13 +25,13 @@
 	ttl        = 2 * time.Second
 	window     = 4 * time.Second
 	retention  = 2 * time.Second
-	abstention = ttl + window + retention // of a voter that has started
+	abstainFor = ttl + window + retention // of a voter that has started
 )
 
 var (
-	m0    = time.Unix(1_800_000_000, 0)
-	north = idempotency.Place{Cluster: "c", Zone: "north"}
-	south = idempotency.Place{Cluster: "c", Zone: "south"}
+	startTime = time.Unix(1_800_000_000, 0)
+	north     = idempotency.Place{Cluster: "c", Zone: "north"}
+	south     = idempotency.Place{Cluster: "c", Zone: "south"}
 )
 
 // scriptedRequest is a request of a script.
@@ -41,8 +41,8 @@
 	place   idempotency.Place
 }
 
-// run is one process's request under way.
-type run struct {
+// requestRun is one process's request under way.
+type requestRun struct {
 	proposer  *Proposer
 	proposals []Proposal    // of all turns
 	responses [3][]Response // that each voter has given
@@ -54,35 +54,35 @@
 	adopted   bool
 }
 
-// start is an attempt that has gone out.
-type start struct {
+// startedAttempt is an attempt that has gone out.
+type startedAttempt struct {
 	key   string
 	place idempotency.Place
 	at    time.Time
 }
 
-type world struct {
-	script         []scriptedRequest
-	now            time.Time
-	voters         [3]*Voter
-	incarnations   [3]int // lives of each process
-	requests       []*run
-	starts         []start
-	crashes        int
-	waits          int
-	skipAbstention bool // processes that start anew are not silent: the fault that the model must find
+type model struct {
+	script          []scriptedRequest
+	now             time.Time
+	voters          [3]*Voter
+	incarnations    [3]int // lives of each process
+	requests        []*requestRun
+	startedAttempts []startedAttempt
+	crashes         int
+	waits           int
+	skipAbstention  bool // processes that start anew are not silent: the fault that the model must find
 }
 
-func newWorld(script []scriptedRequest) *world {
-	w := &world{script: script, now: m0, requests: make([]*run, len(script))}
+func newModel(script []scriptedRequest) *model {
+	w := &model{script: script, now: startTime, requests: make([]*requestRun, len(script))}
 	for i := range w.voters {
-		w.voters[i] = NewVoter(m0, VoterOptions{MaxKeys: 16, MaxProposalTTL: ttl})
+		w.voters[i] = NewVoter(startTime, VoterOptions{MaxKeys: 16, MaxProposalTTL: ttl})
 	}
 	return w
 }
 
-// moves lists what can happen now, by names that replay the same.
-func (w *world) moves() (out []string) {
+// possibleEvents lists what can happen now, by names that replay the same.
+func (w *model) possibleEvents() (out []string) {
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	for i, r := range w.requests {
 		if r == nil {
@@ -125,7 +125,7 @@
 	}
 	for i, v := range w.voters {
 		for from, other := range w.voters {
-			if _, speaks := other.Snapshot(w.now); speaks && i != from && v.NeedsSnapshots(w.now) && !v.copiedFrom[fmt.Sprint(from)] {
+			if _, speaks := other.Snapshot(w.now); speaks && i != from && v.NeedsSnapshots(w.now) && !v.mergedFrom[fmt.Sprint(from)] {
 				add("copy %d %d", i, from)
 			}
 		}
@@ -138,7 +138,7 @@
 	return out
 }
 
-func (w *world) ask(i int, place idempotency.Place) {
+func (w *model) propose(i int, place idempotency.Place) {
 	r := w.requests[i]
 	r.place = place
 	a := Proposal{Attempt: AttemptID{uint64(10*w.script[i].process + w.incarnations[w.script[i].process]), uint64(i)}, Round: uint32(len(r.proposals)),
@@ -147,18 +147,18 @@
 	r.proposals = append(r.proposals, a)
 }
 
-func (w *world) do(move string) {
+func (w *model) apply(move string) {
 	var what string
 	var n, v, k int
 	fmt.Sscan(move, &what, &n, &v, &k)
-	var r *run
+	var r *requestRun
 	if what != "crash" && what != "wait" && what != "copy" {
 		r = w.requests[n]
 	}
 	switch what {
 	case "ask":
-		w.requests[n] = &run{}
-		w.ask(n, w.script[n].place)
+		w.requests[n] = &requestRun{}
+		w.propose(n, w.script[n].place)
 	case "vote":
 		r.delivered[v][k]++
 		if a, ok := w.voters[v].Vote(w.now, r.proposals[k]); ok && !slices.Contains(r.responses[v], a) {
@@ -170,18 +170,18 @@
 		w.voters[v].Release(w.now, *r.release, ttl)
 	case "start":
 		r.started = true
-		w.starts = append(w.starts, start{w.script[n].key, r.place, w.now})
+		w.startedAttempts = append(w.startedAttempts, startedAttempt{w.script[n].key, r.place, w.now})
 	case "adopt":
 		_, past := r.proposer.State()
 		r.adopted = true
-		w.ask(n, past.Place)
+		w.propose(n, past.Place)
 	case "fail", "ended":
 		r.done = true
 		r.release = &Release{r.proposer.Proposal().Attempt, what == "fail"}
 	case "crash":
 		w.crashes++
 		w.incarnations[n]++
-		silent := abstention
+		silent := abstainFor
 		if w.skipAbstention {
 			silent = 0
 		}
@@ -201,15 +201,15 @@
 	}
 }
 
-// broken tells where a key has gone to two groups, or again when its window was over, while it was to be known.
-func (w *world) broken() string {
-	could := slices.Clone(w.starts) // and each attempt that could go out now
+// violation tells where a key has gone to two groups, or again when its window was over, while it was to be known.
+func (w *model) violation() string {
+	could := slices.Clone(w.startedAttempts) // and each attempt that could go out now
 	for i, r := range w.requests {
 		if r == nil || r.done || r.started {
 			continue
 		}
 		if state, past := r.proposer.State(); state == Claimed && r.proposer.IsValid(w.now) && w.now.Before(past.RetryUntil) {
-			could = append(could, start{w.script[i].key, r.place, w.now})
+			could = append(could, startedAttempt{w.script[i].key, r.place, w.now})
 		}
 	}
 	for i, a := range could {
@@ -218,19 +218,19 @@
 				continue
 			}
 			if a.place != b.place || !b.at.Before(a.at.Add(window)) {
-				return fmt.Sprintf("%s in %s after %v and in %s after %v", a.key, a.place.Zone, a.at.Sub(m0), b.place.Zone, b.at.Sub(m0))
+				return fmt.Sprintf("%s in %s after %v and in %s after %v", a.key, a.place.Zone, a.at.Sub(startTime), b.place.Zone, b.at.Sub(startTime))
 			}
 		}
 	}
 	return ""
 }
 
-// state writes all that decides what can come, with times from now on.
-func (w *world) state() string {
+// encodeState writes all that decides what can come, with times from now on.
+func (w *model) encodeState() string {
 	var b strings.Builder
 	at := func(t time.Time) int { return max(int(t.Sub(w.now)/(time.Second/8)), -80) }
 	for i, v := range w.voters {
-		fmt.Fprint(&b, "|", i, w.incarnations[i], max(at(v.abstainUntil), 0), max(at(v.copiesUsefulFrom), 0), len(v.copiedFrom))
+		fmt.Fprint(&b, "|", i, w.incarnations[i], max(at(v.abstainUntil), 0), max(at(v.snapshotsUsefulFrom), 0), len(v.mergedFrom))
 		var lines []string
 		for _, h := range v.grants {
 			lines = append(lines, fmt.Sprint(h.attempt, h.round, h.place.Zone, h.ended))
@@ -260,7 +260,7 @@
 		}
 	}
 	fmt.Fprint(&b, w.crashes, w.waits)
-	for _, s := range w.starts {
+	for _, s := range w.startedAttempts {
 		fmt.Fprint(&b, s.key, s.place.Zone, at(s.at))
 	}
 	return b.String()
@@ -268,11 +268,11 @@
 
 // explore tries every order of moves up to a depth, from a beginning. It returns the shortest one that breaks the promise.
 func explore(script []scriptedRequest, beginning []string, depth int, careless bool) (states int, trace []string, broken string) {
-	play := func(moves []string) *world {
-		w := newWorld(script)
+	play := func(moves []string) *model {
+		w := newModel(script)
 		w.skipAbstention = careless
 		for _, m := range moves {
-			w.do(m)
+			w.apply(m)
 		}
 		return w
 	}
@@ -282,16 +282,16 @@
 		var next [][]string
 		for _, moves := range level {
 			w := play(moves)
-			if why := w.broken(); why != "" {
+			if why := w.violation(); why != "" {
 				return len(seen), moves, why
 			}
-			sum := sha256.Sum256([]byte(w.state()))
+			sum := sha256.Sum256([]byte(w.encodeState()))
 			s := [16]byte(sum[:16])
 			if seen[s] {
 				continue
 			}
 			seen[s] = true
-			for _, m := range w.moves() {
+			for _, m := range w.possibleEvents() {
 				next = append(next, append(slices.Clip(slices.Clone(moves)), m))
 			}
 		}
@@ -301,32 +301,32 @@
 }
 
 var (
-	one = []scriptedRequest{{0, "a", north}, {2, "a", south}}
-	two = []scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "b", south}}
+	oneKeyScript = []scriptedRequest{{0, "a", north}, {2, "a", south}}
+	twoKeyScript = []scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "b", south}}
 )
 
 // Beginnings of the search: what has been done, and how much deeper than the others it is gone into.
-var beginnings = []struct {
+var searchPrefixes = []struct {
 	name   string
 	script []scriptedRequest
 	done   []string
 	deeper int
 }{
-	{"nothing has been asked", two, nil, 1},
-	{"a vote each, the third is free", one, []string{"ask 0", "ask 1", "vote 0 0 0", "vote 1 2 0", "hear 0 0 0", "hear 1 2 0"}, 1},
-	{"north has its majority", one, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1"}, 1},
-	{"north has started", one, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "start 0", "ask 1"}, 1},
-	{"a voter of the majority has died", one, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1", "start 0",
+	{"nothing has been asked", twoKeyScript, nil, 1},
+	{"a vote each, the third is free", oneKeyScript, []string{"ask 0", "ask 1", "vote 0 0 0", "vote 1 2 0", "hear 0 0 0", "hear 1 2 0"}, 1},
+	{"north has its majority", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1"}, 1},
+	{"north has started", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "start 0", "ask 1"}, 1},
+	{"a voter of the majority has died", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1", "start 0",
 		"vote 1 2 0", "hear 1 2 0", "crash 1", "wait 2"}, 2},
-	{"two keys", two, []string{"ask 0", "vote 0 0 0", "ask 2", "vote 2 1 0", "vote 2 2 0", "ask 1"}, 0},
+	{"two keys", twoKeyScript, []string{"ask 0", "vote 0 0 0", "ask 2", "vote 2 1 0", "vote 2 2 0", "ask 1"}, 0},
 }
 
 // Every order of events up to a depth, from several beginnings: no key is ever in two groups.
-func TestExhaustive(t *testing.T) {
-	for _, b := range beginnings {
+func TestExhaustiveSearchFindsNoViolation(t *testing.T) {
+	for _, b := range searchPrefixes {
 		t.Run(b.name, func(t *testing.T) {
 			t.Parallel()
-			states, trace, broken := explore(b.script, b.done, *deep+b.deeper, false)
+			states, trace, broken := explore(b.script, b.done, *searchDepth+b.deeper, false)
 			if broken != "" {
 				t.Errorf("%s:\n%s", broken, strings.Join(trace, "\n"))
 			}
@@ -336,8 +336,8 @@
 }
 
 // The search finds the fault that the voters' silence guards against: a voter that has lost its memory and agrees anew.
-func TestSearchFindsForgetfulVoters(t *testing.T) {
-	states, trace, broken := explore(one, append(slices.Clone(beginnings[2].done), "crash 1"), 4, true)
+func TestSearchFindsVoteAfterRestartWithoutAbstention(t *testing.T) {
+	states, trace, broken := explore(oneKeyScript, append(slices.Clone(searchPrefixes[2].done), "crash 1"), 4, true)
 	if broken == "" {
 		t.Errorf("not found in %d states", states)
 	}
@@ -345,15 +345,15 @@
 }
 
 // Long walks, drawn at random, through the same model.
-func TestRandomWalks(t *testing.T) {
+func TestRandomEventSequencesCauseNoViolation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld([]scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "a", south}, {1, "b", north}, {2, "b", south}})
+		w := newModel([]scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "a", south}, {1, "b", north}, {2, "b", south}})
 		var trace []string
 		for range 80 {
-			move := rapid.SampledFrom(w.moves()).Draw(t, "move")
+			move := rapid.SampledFrom(w.possibleEvents()).Draw(t, "move")
 			trace = append(trace, move)
-			w.do(move)
-			if why := w.broken(); why != "" {
+			w.apply(move)
+			if why := w.violation(); why != "" {
 				t.Fatalf("%s:\n%s", why, strings.Join(trace, "\n"))
 			}
 		}
@@ -362,31 +362,31 @@
 
 // What a voter may forget and must not: a try that moved to another place, an end that overtook its ask, a list of voters
 // that follows another.
-func TestVoter(t *testing.T) {
+func TestVoterGrantsRoundsReleasesAndCapacity(t *testing.T) {
 	ask := func(number uint64, turn uint32, place idempotency.Place) Proposal {
 		return Proposal{Attempt: AttemptID{1, number}, Round: turn, Key: idempotency.KeyIDOf("", "a"), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
 	}
-	v := NewVoter(m0, VoterOptions{MaxKeys: 4, MaxProposalTTL: ttl})
+	v := NewVoter(startTime, VoterOptions{MaxKeys: 4, MaxProposalTTL: ttl})
 	vote := func(a Proposal) Vote {
 		t.Helper()
-		out, _ := v.Vote(m0, a)
+		out, _ := v.Vote(startTime, a)
 		return out.Vote
 	}
 	if vote(ask(1, 0, north)) != Grant || vote(ask(2, 0, south)) != HeldElsewhere || vote(ask(1, 1, south)) != Grant || vote(ask(2, 0, south)) != Grant {
 		t.Error("a try that moves takes its place with it")
 	}
-	if _, ok := v.Vote(m0, ask(1, 0, north)); ok {
+	if _, ok := v.Vote(startTime, ask(1, 0, north)); ok {
 		t.Error("an ask of an earlier turn was answered")
 	}
-	v.Release(m0, Release{AttemptID{1, 3}, true}, ttl)
-	if _, ok := v.Vote(m0, ask(3, 0, south)); ok {
+	v.Release(startTime, Release{AttemptID{1, 3}, true}, ttl)
+	if _, ok := v.Vote(startTime, ask(3, 0, south)); ok {
 		t.Error("an ask that its end has overtaken was answered")
 	}
-	v.Release(m0, Release{AttemptID{1, 1}, true}, ttl)
+	v.Release(startTime, Release{AttemptID{1, 1}, true}, ttl)
 	if vote(ask(4, 0, north)) != HeldElsewhere {
 		t.Error("free though another try is there")
 	}
-	v.Release(m0, Release{AttemptID{1, 2}, true}, ttl)
+	v.Release(startTime, Release{AttemptID{1, 2}, true}, ttl)
 	if vote(ask(4, 0, north)) != Grant {
 		t.Error("held though nothing ran")
 	}
--- a/internal/fleet/ownership/snapshot.go
+++ b/internal/fleet/ownership/snapshot.go
@@ -32,7 +32,7 @@
 // what this voter granted in an earlier incarnation: those that were sent are then known to all others of the majorities
 // that had granted them.
 func (v *Voter) NeedsSnapshots(now time.Time) bool {
-	return now.Before(v.abstainUntil) && !now.Before(v.copiesUsefulFrom)
+	return now.Before(v.abstainUntil) && !now.Before(v.snapshotsUsefulFrom)
 }
 
 // MergeSnapshot adds a part of a snapshot that was requested while NeedsSnapshots was true.
@@ -51,8 +51,8 @@
 // SnapshotCompleted records that the whole snapshot of another voter has been merged. The voter votes again once it has merged
 // enough of them to cover every majority that it can have been part of.
 func (v *Voter) SnapshotCompleted(now time.Time, from string, voters int) {
-	v.copiedFrom[from] = true
-	if len(v.copiedFrom) >= voters-Majority(voters)+1 && v.NeedsSnapshots(now) {
+	v.mergedFrom[from] = true
+	if len(v.mergedFrom) >= voters-Majority(voters)+1 && v.NeedsSnapshots(now) {
 		v.abstainUntil = now
 	}
 }
--- a/internal/fleet/ownership/voter.go
+++ b/internal/fleet/ownership/voter.go
@@ -42,13 +42,13 @@
 
 // Voter remembers what it has granted. It is not safe for concurrent use.
 type Voter struct {
-	table            *idempotency.Table
-	maxKeys          int
-	grants           map[AttemptID]*grant
-	expiry           timerqueue.Queue[*grant]
-	abstainUntil     time.Time
-	copiesUsefulFrom time.Time // snapshots count from then on
-	copiedFrom       map[string]bool
+	table               *idempotency.Table
+	maxKeys             int
+	grants              map[AttemptID]*grant
+	expiry              timerqueue.Queue[*grant]
+	abstainUntil        time.Time
+	snapshotsUsefulFrom time.Time // snapshots count from then on
+	mergedFrom          map[string]bool
 }
 
 // grant is an attempt that was granted, or one that is known to have ended.
@@ -73,12 +73,12 @@
 // NewVoter returns a voter that starts now.
 func NewVoter(now time.Time, o VoterOptions) *Voter {
 	return &Voter{
-		table:            idempotency.New(o.MaxKeys),
-		maxKeys:          o.MaxKeys,
-		grants:           map[AttemptID]*grant{},
-		abstainUntil:     now.Add(o.AbstainFor),
-		copiesUsefulFrom: now.Add(o.MaxProposalTTL),
-		copiedFrom:       map[string]bool{},
+		table:               idempotency.New(o.MaxKeys),
+		maxKeys:             o.MaxKeys,
+		grants:              map[AttemptID]*grant{},
+		abstainUntil:        now.Add(o.AbstainFor),
+		snapshotsUsefulFrom: now.Add(o.MaxProposalTTL),
+		mergedFrom:          map[string]bool{},
 	}
 }
 
@@ -90,7 +90,7 @@
 		return Response{}, false
 	}
 	response = Response{Attempt: p.Attempt, Round: p.Round, Vote: v.decide(now, p, current), Remaining: p.TTL}
-	known := v.knownBefore(now, p, response.Vote)
+	known := v.priorKeyState(now, p, response.Vote)
 	response.Place, response.Split = known.Place, known.SeveralGroups
 	if known.Known {
 		response.Remaining = known.RetryUntil.Sub(now)
@@ -101,8 +101,8 @@
 	return response, true
 }
 
-// knownBefore returns what the voter knows of the key. The attempts of a granted proposal itself are left to its proposer.
-func (v *Voter) knownBefore(now time.Time, p Proposal, vote Vote) idempotency.KeyState {
+// priorKeyState returns what the voter knows of the key. The attempts of a granted proposal itself are left to its proposer.
+func (v *Voter) priorKeyState(now time.Time, p Proposal, vote Vote) idempotency.KeyState {
 	if vote == Grant {
 		return v.grants[p.Attempt].sent.OtherAttempts()
 	}
--- a/internal/fleet/partition/partition_test.go
+++ b/internal/fleet/partition/partition_test.go
@@ -8,40 +8,40 @@
 	"pgregory.net/rapid"
 )
 
-var t0 = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
-func TestLifecycle(t *testing.T) {
+func TestLostInstanceCountsUntilHoldExpires(t *testing.T) {
 	tr := New("b", 10*time.Second, 10)
 	for _, name := range []string{"a", "c", "d", "e"} {
-		tr.Update(t0, name, Alive)
+		tr.Update(startTime, name, Alive)
 	}
 	want := func(at time.Duration, n, place int) {
 		t.Helper()
-		if gotN, gotPlace, _ := tr.Partition(t0.Add(at)); gotN != n || gotPlace != place {
+		if gotN, gotPlace, _ := tr.Partition(startTime.Add(at)); gotN != n || gotPlace != place {
 			t.Errorf("after %v: %d of %d, want %d of %d", at, gotPlace, gotN, place, n)
 		}
 	}
 	want(0, 5, 1)
-	tr.Update(t0, "a", Left)
+	tr.Update(startTime, "a", Left)
 	want(0, 4, 0)
-	tr.Update(t0, "c", Dead)
+	tr.Update(startTime, "c", Dead)
 	want(9*time.Second, 4, 0)
-	if _, _, next := tr.Partition(t0); !next.Equal(t0.Add(10 * time.Second)) {
+	if _, _, next := tr.Partition(startTime); !next.Equal(startTime.Add(10 * time.Second)) {
 		t.Errorf("next %v", next)
 	}
 	want(10*time.Second, 3, 0)
-	tr.Update(t0.Add(11*time.Second), "d", Dead)
-	tr.Update(t0.Add(11*time.Second), "e", Dead)
+	tr.Update(startTime.Add(11*time.Second), "d", Dead)
+	tr.Update(startTime.Add(11*time.Second), "e", Dead)
 	want(time.Hour, 3, 0) // cut off, perhaps: the others may still be there
-	tr.Update(t0.Add(time.Hour), "e", Alive)
-	want(time.Hour, 2, 0)    // most are there, and one has been lost for long
-	tr.Update(t0, "b", Dead) // what others say of this one
+	tr.Update(startTime.Add(time.Hour), "e", Alive)
+	want(time.Hour, 2, 0)           // most are there, and one has been lost for long
+	tr.Update(startTime, "b", Dead) // what others say of this one
 	want(time.Hour, 2, 0)
 }
 
 // A fleet is cut into sides, again and again, and heals: no instance counts fewer than it sees, and when all see all again
 // each has a place of its own.
-func TestPartitions(t *testing.T) {
+func TestCountIncludesReachableInstancesDuringPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "instances")
 		trackers := make([]*Tracker, n)
@@ -49,7 +49,7 @@
 		for i := range trackers {
 			trackers[i] = New(name(i), 5*time.Second, 20)
 		}
-		now := t0
+		now := startTime
 		for range rapid.IntRange(1, 12).Draw(t, "cuts") {
 			side := make([]bool, n)
 			for i := range side {
--- a/internal/fleet/version/order.go
+++ b/internal/fleet/version/order.go
@@ -77,8 +77,8 @@
 	return Unknown
 }
 
-// Steps returns how many versions a is behind b, which is newer. It is at least 1.
-func Steps(a, b Entry) int {
+// VersionsBehind returns how many versions a is behind b, which is newer. It is at least 1.
+func VersionsBehind(a, b Entry) int {
 	if a.Number > 0 && b.Number > a.Number {
 		return int(b.Number - a.Number)
 	}
--- a/internal/fleet/version/vector.go
+++ b/internal/fleet/version/vector.go
@@ -11,12 +11,14 @@
 // Vector is all that an instance applies: one entry for each kind and name, in that order.
 type Vector []Entry
 
-// ByName compares two entries by kind and name, which is the order of a vector.
-func ByName(a, b Entry) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) }
+// ByKindAndName compares two entries by kind and name, which is the order of a vector.
+func ByKindAndName(a, b Entry) int {
+	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
+}
 
 // Find returns the entry of a kind and name.
 func (v Vector) Find(k Kind, name string) (Entry, bool) {
-	i, ok := slices.BinarySearchFunc(v, Entry{Kind: k, Name: name}, ByName)
+	i, ok := slices.BinarySearchFunc(v, Entry{Kind: k, Name: name}, ByKindAndName)
 	if !ok {
 		return Entry{}, false
 	}
@@ -25,7 +27,7 @@
 
 // With returns a copy of the vector with an entry added or replaced.
 func (v Vector) With(e Entry) Vector {
-	i, ok := slices.BinarySearchFunc(v, e, ByName)
+	i, ok := slices.BinarySearchFunc(v, e, ByKindAndName)
 	next := slices.Clone(v)
 	if ok {
 		next[i] = e
@@ -66,7 +68,7 @@
 		switch {
 		case e.Kind == 0 || len(e.Name) > maxNameBytes || len(e.Description) > maxNameBytes || len(e.Ancestors) > MaxAncestors:
 			return fmt.Errorf("version: entry %d is invalid", i)
-		case i > 0 && ByName(v[i-1], e) >= 0:
+		case i > 0 && ByKindAndName(v[i-1], e) >= 0:
 			return fmt.Errorf("version: entry %d is out of order", i)
 		}
 	}
--- a/internal/fleet/versionlag/evaluate.go
+++ b/internal/fleet/versionlag/evaluate.go
@@ -14,8 +14,8 @@
 	members  []Member
 	statuses []Status
 	// What the Detector remembers after the run.
-	since       map[lagKey]time.Duration
-	newestSince map[newestKey]time.Duration
+	findingSince map[findingKey]time.Duration
+	newestSince  map[newestKey]time.Duration
 }
 
 // holders initializes the statuses, and returns for each shared entry the members that have one, by index.
@@ -59,12 +59,12 @@
 // addFinding adds a finding with its duration. A member that is lagging for less than the rollout timeout is updating.
 func (e *evaluation) addFinding(i int, key entryKey, finding Finding) {
 	member := e.members[i]
-	id := lagKey{member.Name, key, finding.Has.Hash, finding.Expected.Hash}
-	since, known := e.Detector.since[id]
+	id := findingKey{member.Name, key, finding.Has.Hash, finding.Expected.Hash}
+	since, known := e.Detector.findingSince[id]
 	if !known {
 		since = e.now
 	}
-	e.since[id] = since
+	e.findingSince[id] = since
 	finding.Duration = max(e.now-member.Age-since, 0) // what it has applied since its report is not known
 	inTime := finding.Duration <= e.limits.RolloutTimeout
 	if inTime && (finding.State == Lagging || finding.State == Divergent) {
@@ -175,7 +175,7 @@
 		case version.Older:
 			if finding.State < Lagging {
 				finding.State, finding.Expected = Lagging, other.Entry
-				finding.VersionsBehind = version.Steps(v.Entry, other.Entry)
+				finding.VersionsBehind = version.VersionsBehind(v.Entry, other.Entry)
 			}
 		case version.Unknown:
 			if finding.State < Divergent || finding.State == Divergent && other.members > members {
--- a/internal/fleet/versionlag/versionlag.go
+++ b/internal/fleet/versionlag/versionlag.go
@@ -87,8 +87,8 @@
 	name string
 }
 
-// lagKey identifies a member that applies one version where another is expected.
-type lagKey struct {
+// findingKey identifies a member that applies one version where another is expected.
+type findingKey struct {
 	member string
 	entryKey
 	has, expected version.Hash
@@ -102,14 +102,14 @@
 
 // Detector remembers since when each member is in its state. It is not safe for concurrent use.
 type Detector struct {
-	limits      Limits
-	since       map[lagKey]time.Duration
-	newestSince map[newestKey]time.Duration
+	limits       Limits
+	findingSince map[findingKey]time.Duration
+	newestSince  map[newestKey]time.Duration
 }
 
 // New returns a Detector that has seen nothing.
 func New(limits Limits) *Detector {
-	return &Detector{limits: limits, since: map[lagKey]time.Duration{}, newestSince: map[newestKey]time.Duration{}}
+	return &Detector{limits: limits, findingSince: map[findingKey]time.Duration{}, newestSince: map[newestKey]time.Duration{}}
 }
 
 // SetLimits changes the time limits.
@@ -118,17 +118,17 @@
 // Evaluate returns the status of each member, in the order of the members.
 func (d *Detector) Evaluate(now time.Duration, members []Member) []Status {
 	e := evaluation{
-		Detector:    d,
-		now:         now,
-		members:     members,
-		statuses:    make([]Status, len(members)),
-		since:       map[lagKey]time.Duration{},
-		newestSince: map[newestKey]time.Duration{},
+		Detector:     d,
+		now:          now,
+		members:      members,
+		statuses:     make([]Status, len(members)),
+		findingSince: map[findingKey]time.Duration{},
+		newestSince:  map[newestKey]time.Duration{},
 	}
 	for key, holders := range e.holders() {
 		e.evaluateEntry(key, holders)
 	}
-	d.since, d.newestSince = e.since, e.newestSince
+	d.findingSince, d.newestSince = e.findingSince, e.newestSince
 	for i := range e.statuses {
 		e.statuses[i].summarize()
 	}
--- a/internal/fleet/versionlag/versionlag_test.go
+++ b/internal/fleet/versionlag/versionlag_test.go
@@ -12,7 +12,7 @@
 
 var limits = Limits{RolloutTimeout: 5 * time.Second, MaxAge: 10 * time.Second}
 
-func conf(number uint64, text string, before ...version.Ancestor) version.Entry {
+func configuration(number uint64, text string, before ...version.Ancestor) version.Entry {
 	return version.Entry{Kind: version.Configuration, Hash: version.HashOf([]byte(text)), Number: number, Ancestors: before}
 }
 
@@ -23,7 +23,7 @@
 	return out
 }
 
-func told(s []Status) (out string) {
+func joinStates(s []Status) (out string) {
 	for i, m := range s {
 		if i > 0 {
 			out += ", "
@@ -34,11 +34,11 @@
 }
 
 // Each row is a fleet as it is seen twice: at once, and after the time that taking up may last.
-func TestEvaluate(t *testing.T) {
-	a := conf(1, "a")
-	b := conf(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
-	x := conf(2, "x", version.Ancestor{Number: 1, Hash: a.Hash})
-	c := conf(3, "c", version.Ancestor{Number: 2, Hash: b.Hash}, version.Ancestor{Number: 1, Hash: a.Hash})
+func TestEvaluateBeforeAndAfterRolloutTimeout(t *testing.T) {
+	a := configuration(1, "a")
+	b := configuration(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
+	x := configuration(2, "x", version.Ancestor{Number: 1, Hash: a.Hash})
+	c := configuration(3, "c", version.Ancestor{Number: 2, Hash: b.Hash}, version.Ancestor{Number: 1, Hash: a.Hash})
 	list := func(text string, before ...string) version.Entry {
 		e := version.Entry{Kind: version.List, Name: "c", Hash: version.HashOf([]byte(text))}
 		for _, b := range before {
@@ -71,10 +71,10 @@
 		"kinds of the future": {members(version.Entry{Kind: 99, Hash: a.Hash}, version.Entry{Kind: 99, Hash: b.Hash}), "taking up, taking up", "differs, differs"},
 	} {
 		w := New(limits)
-		if got := told(w.Evaluate(time.Hour, row.members)); got != row.first {
+		if got := joinStates(w.Evaluate(time.Hour, row.members)); got != row.first {
 			t.Errorf("%s: at once %s, want %s", name, got, row.first)
 		}
-		if got := told(w.Evaluate(time.Hour+6*time.Second, row.members)); got != row.then {
+		if got := joinStates(w.Evaluate(time.Hour+6*time.Second, row.members)); got != row.then {
 			t.Errorf("%s: then %s, want %s", name, got, row.then)
 		}
 	}
@@ -82,9 +82,9 @@
 
 // One that goes on, but never catches up, is behind the newest each time for no longer than it is the newest; and what is told
 // names what it has, what it should have, by how many versions, and for how long.
-func TestVersionsBehind(t *testing.T) {
-	a := conf(1, "a")
-	c := conf(3, "c", version.Ancestor{Number: 2, Hash: version.HashOf([]byte("b"))}, version.Ancestor{Number: 1, Hash: a.Hash})
+func TestLaggingFindingRestartsWithEachNewVersion(t *testing.T) {
+	a := configuration(1, "a")
+	c := configuration(3, "c", version.Ancestor{Number: 2, Hash: version.HashOf([]byte("b"))}, version.Ancestor{Number: 1, Hash: a.Hash})
 	w := New(limits)
 	w.Evaluate(0, members(a, c, c))
 	s := w.Evaluate(7*time.Second, members(a, c, c))
@@ -94,20 +94,20 @@
 	if f := s[0].Findings[0]; f.State != Lagging || f.VersionsBehind != 2 || f.Duration != 7*time.Second || f.Expected.Hash != c.Hash || f.Has.Hash != a.Hash {
 		t.Errorf("%+v", f)
 	}
-	d := conf(4, "d", append([]version.Ancestor{{Number: 3, Hash: c.Hash}}, c.Ancestors...)...)
+	d := configuration(4, "d", append([]version.Ancestor{{Number: 3, Hash: c.Hash}}, c.Ancestors...)...)
 	if s = w.Evaluate(8*time.Second, members(a, d, d)); s[0].Findings[0].State != Updating || s[0].Findings[0].Duration != 0 {
 		t.Errorf("behind a version that has just come: %+v", s[0].Findings)
 	}
-	if len(w.since) > 1 || len(w.newestSince) > 1 {
-		t.Errorf("%d and %d are remembered", len(w.since), len(w.newestSince))
+	if len(w.findingSince) > 1 || len(w.newestSince) > 1 {
+		t.Errorf("%d and %d are remembered", len(w.findingSince), len(w.newestSince))
 	}
 }
 
 // What a member has done since its last word is not known: it is behind only once it has said so itself after the time that
 // taking up may last, and the newest is odd only once most have.
-func TestStaleReport(t *testing.T) {
-	a := conf(1, "a")
-	b := conf(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
+func TestStaleReportIsNotLagging(t *testing.T) {
+	a := configuration(1, "a")
+	b := configuration(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
 	for _, has := range [][]version.Entry{{a, b, b}, {a, a, b}} {
 		w := New(limits)
 		w.Evaluate(0, members(has...))
@@ -127,7 +127,7 @@
 
 // Whatever versions there are, never are most of those that are heard told to be behind, and a fork never makes one side
 // right: if any member is forked, so is one with another version.
-func TestMajorityNeverLags(t *testing.T) {
+func TestMajorityNeverLagsAndForkFlagsBothSides(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(r, "members")
 		known := []version.Entry{version.AssignNumber(version.Configuration, "", version.HashOf([]byte("0")), "", nil)}
@@ -152,10 +152,10 @@
 			}
 		}
 		if len(forked) == 1 {
-			r.Errorf("one side of a fork is right: %s of %+v", told(s), has)
+			r.Errorf("one side of a fork is right: %s of %+v", joinStates(s), has)
 		}
 		if len(forked) == 0 && 2*behind > n {
-			r.Errorf("most are behind: %s", told(s))
+			r.Errorf("most are behind: %s", joinStates(s))
 		}
 	})
 }
