--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// requestsForUnknown returns requests for some members of the view of which nothing is known.
+// requestsForUnknown returns requests for up to maxRequests members of the view whose state is unknown.
 func (c *Core) requestsForUnknown() []Request {
 	var requests []Request
 	for range c.members {
@@ -22,7 +22,7 @@
 	return requests
 }
 
-// digests returns the digest of this member, those of the peers that have changed last, and those of others in turn.
+// digests returns the digests of this member, of the peers with the most recent updates, and of other peers in turn.
 func (c *Core) digests() []Digest {
 	digests := []Digest{{Name: c.self.Name, Incarnation: c.self.Incarnation, Generation: c.self.Generation, Seq: c.self.Seq}}
 	add := func(peer *Peer) {
@@ -49,7 +49,7 @@
 	return digests
 }
 
-// maxAgeMilliseconds bounds the age in a digest.
+// maxAgeMilliseconds limits the age in a digest.
 const maxAgeMilliseconds = 1 << 31
 
 func (c *Core) digestOf(peer *Peer) Digest {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Receive handles a message that has passed Check, from a member.
+// Receive handles a message from a member. The message must have passed Check.
 func (c *Core) Receive(now time.Duration, from string, m *Message) {
 	c.now = max(now, c.now)
 	var response Message
@@ -84,7 +84,7 @@
 	}
 }
 
-// handleRequest adds the requested state to a response, where it is newer than what the other member knows.
+// handleRequest adds the requested state to a response, if it is newer than the state that the requesting member knows.
 func (c *Core) handleRequest(r Request, response *Message) {
 	peer, ok := c.Peer(r.Name)
 	if ok && peer.Seq > 0 && (peer.Incarnation != r.Incarnation || peer.Seq > r.KnownSeq) {
@@ -92,7 +92,8 @@
 	}
 }
 
-// handleDigest requests what the other member knows better, and sends it what is known better here.
+// handleDigest compares a digest with the state that is known here. It requests the state if the sender knows a newer one, and
+// adds an update to the response if the sender knows an older one.
 func (c *Core) handleDigest(from string, d Digest, response *Message) {
 	if d.Name == c.self.Name {
 		c.supersedeEarlierProcess(d.Incarnation, d.Generation)
@@ -117,19 +118,20 @@
 	}
 }
 
-// supersedeEarlierProcess handles the state of another process with this one's name: this one was started after it.
+// supersedeEarlierProcess takes a higher generation than another process with this member's name, because this process was
+// started after it.
 func (c *Core) supersedeEarlierProcess(incarnation, generation uint64) {
 	if incarnation == c.self.Incarnation || generation < c.self.Generation || generation >= maxGeneration {
 		return
 	}
 	c.self.Generation = generation + 1
-	if c.self.Seq > 0 { // announced again, as the state under the old generation counts as the earlier process's
+	if c.self.Seq > 0 { // announced again, because other members may ignore the state with the old generation
 		c.self.Seq++
 		c.pushesLeft, c.previousSeq = c.pushCount(), 0
 	}
 }
 
-// handleUpdate applies an update of a member's state. Direct tells that it comes from that member itself.
+// handleUpdate applies an update of a member's state. direct means that the update comes from that member itself.
 func (c *Core) handleUpdate(u *Update, direct bool, response *Message) {
 	if u.Name == c.self.Name {
 		c.supersedeEarlierProcess(u.Incarnation, u.Generation)
@@ -151,7 +153,7 @@
 	}
 	state, ok := u.apply(before)
 	if !ok {
-		if u.BaseSeq > 0 { // the state that it is based on is not known here
+		if u.BaseSeq > 0 { // the base state is not known here: request the complete state
 			response.addRequest(u.Name, 0, 0)
 		}
 		return
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,10 +1,11 @@
-// Package gossip replicates the versions that each member of a fleet applies, and keeps what is known of all members.
+// Package gossip replicates the versions that each member of a fleet applies to all other members.
 //
 // The package does no I/O, reads no clock and starts no goroutines. Its host passes it the time, the members of the view and
 // the messages received, and sends what Ready returns. A Core belongs to one host, which serialises all calls.
 //
-// An urgent update is pushed on by each member that receives it, a few times (rumour mongering: Demers and others, PODC
-// 1987). What that misses is found by comparing digests (anti-entropy). Both are bounded, whatever the number of members.
+// Each member that receives an urgent update pushes it to other members a few times (rumour mongering: Demers and others, PODC
+// 1987). Members that miss an update find it by comparing digests (anti-entropy). Both are bounded, whatever the number of
+// members: in each tick a member sends at most one push and one digest message, of limited size.
 package gossip
 
 import (
@@ -21,30 +22,31 @@
 	// TickInterval is how often the host has to call Tick.
 	TickInterval = 250 * time.Millisecond
 
-	ticksPerDigest = 4 // ticks from one exchange of digests to the next
+	ticksPerDigest = 4 // ticks from one exchange of digests to the next one
 	ticksPerForget = 240
-	// departedRetention is how long the state of a member that is out is kept, for members that were cut off.
+	// departedRetention is how long the state of a member outside the view is kept after its last update or confirmation. A
+	// member that was only isolated is still known when it returns.
 	departedRetention = 10 * time.Minute
 
 	maxDigests       = 32
 	maxRequests      = 32
 	maxUpdates       = 16
-	maxResponseBytes = 256 << 10 // of the updates in a response, except the first
-	maxPushBytes     = 800       // of the updates that are pushed: they go in one packet
-	recentDigests    = 16        // of the members that have changed last; the others take turns
-	pushFanout       = 2         // members that an announcement is pushed to at once
+	maxResponseBytes = 256 << 10 // of the updates in a response; the update that reaches the limit is still added
+	maxPushBytes     = 800       // of the updates that are pushed together: they fit in one packet
+	recentDigests    = 16        // of the peers with the most recent updates; the other peers take turns
+	pushFanout       = 2         // members to which an announcement is pushed immediately
 	maxPeers         = 10000
 	maxGeneration    = 1 << 40
 	maxNameBytes     = 256
 )
 
-// Peer is what is known of another member.
+// Peer is the known state of another member.
 type Peer struct {
 	MemberState
-	ReceivedAt  time.Duration // when this state arrived here
-	ConfirmedAt time.Duration // until when the member is known to have confirmed it
+	ReceivedAt  time.Duration // when this state was received
+	ConfirmedAt time.Duration // when the member last confirmed this state, as far as is known
 	pushesLeft  int
-	previousSeq uint64 // of the state that it replaced
+	previousSeq uint64 // sequence number of the state on which the pushed updates are based
 }
 
 // Envelope is a message with its recipient.
@@ -62,17 +64,17 @@
 
 	self        MemberState
 	pushesLeft  int    // of this member's own state
-	previousSeq uint64 // of the state that it replaced
+	previousSeq uint64 // sequence number of the state on which the pushed updates are based
 
 	members       []string // of the view, without this one
 	peers         map[string]*Peer
-	sortedNames   []string // of peers; nil: out of date
+	sortedNames   []string // of peers; nil: has to be sorted again
 	digestCursor  int      // position in sortedNames
-	requestCursor int      // position in members, of the search for unknown ones
-	moreExpected  bool     // something new has arrived, so more may follow
+	requestCursor int      // position in members of the search for unknown states
+	moreExpected  bool     // an update has arrived or was requested, so the next tick sends digests
 }
 
-// New returns the state of a member that applies nothing yet.
+// New returns the Core of a member that has announced nothing yet.
 func New(name string, incarnation uint64, random *rand.Rand) *Core {
 	return &Core{
 		random: random,
@@ -81,7 +83,7 @@
 	}
 }
 
-// SetMembers sets the members of the view. Others are forgotten after departedRetention.
+// SetMembers sets the members of the view. The state of other members is forgotten after departedRetention.
 func (c *Core) SetMembers(names []string) {
 	c.members = c.members[:0]
 	for _, name := range names {
@@ -91,9 +93,9 @@
 	}
 }
 
-// Announce sets the versions that this member applies from now on. Urgent changes are pushed at once. The rest is found by
-// comparing digests: endpoint lists change everywhere at once, and a thousand members that push to a thousand others would
-// do little else.
+// Announce sets the versions that this member applies from now on. Urgent changes are pushed immediately. Other members find
+// the remaining changes by comparing digests. Endpoint lists change at all members at the same time, and if a thousand
+// members pushed them to a thousand others, they would do little else.
 func (c *Core) Announce(now time.Duration, vector version.Vector, appliedAt time.Time) {
 	c.now = max(now, c.now)
 	before := c.self.Seq
@@ -108,7 +110,7 @@
 // Self returns this member's state.
 func (c *Core) Self() MemberState { return c.self }
 
-// Peer returns what is known of a member, this one included.
+// Peer returns the known state of a member. It also accepts the name of this member.
 func (c *Core) Peer(name string) (Peer, bool) {
 	if name == c.self.Name {
 		return Peer{MemberState: c.self, ReceivedAt: c.now, ConfirmedAt: c.now}, true
@@ -120,7 +122,7 @@
 	return *peer, true
 }
 
-// Entries returns the entries of all members, this one included, for one kind and name.
+// Entries returns the entries of one kind and name of all members, including this member.
 func (c *Core) Entries(kind version.Kind, name string) []version.Entry {
 	var entries []version.Entry
 	if e, ok := c.self.Vector.Find(kind, name); ok {
@@ -176,10 +178,11 @@
 	return drawn
 }
 
-// pushCount returns how often each member pushes a new state: enough that few of so many members are left to anti-entropy.
+// pushCount returns how often each member pushes a new state. It grows with the number of members, so that only a few of them
+// miss the state and need anti-entropy.
 func (c *Core) pushCount() int { return 1 + bits.Len(uint(len(c.members)))/2 }
 
-// pushUpdate sends an update of this member to some others at once.
+// pushUpdate immediately sends an update of this member's state to pushFanout members, if it fits in one packet.
 func (c *Core) pushUpdate(u Update) {
 	if u.approximateBytes() > maxPushBytes {
 		return
@@ -206,8 +209,8 @@
 	bytes   int
 }
 
-// add adds the update of a state that has pushes left. A state whose update is too long for a packet is not pushed: members that
-// lack it request it.
+// add adds the update of a state that has pushes left. If the update is too large for a packet, it is not pushed: members that
+// lack the state request it.
 func (b *pushBatch) add(state *MemberState, pushesLeft *int, previousSeq uint64) {
 	if *pushesLeft == 0 || len(b.updates) == maxUpdates || b.bytes > maxPushBytes {
 		return
@@ -233,7 +236,7 @@
 	return c.sortedNames
 }
 
-// forgetDeparted forgets the peers that have been out for departedRetention.
+// forgetDeparted forgets the peers outside the view that had no update or confirmation for departedRetention.
 func (c *Core) forgetDeparted() {
 	if c.ticks%ticksPerForget != 0 {
 		return
@@ -246,7 +249,7 @@
 	}
 }
 
-// hasUrgent reports whether anything but lists has changed.
-func hasUrgent(v version.Vector) bool {
-	return slices.ContainsFunc(v, func(e version.Entry) bool { return e.Kind.IsUrgent() })
+// hasUrgent reports whether any of the changed entries is urgent.
+func hasUrgent(changed version.Vector) bool {
+	return slices.ContainsFunc(changed, func(e version.Entry) bool { return e.Kind.IsUrgent() })
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -15,7 +15,7 @@
 
 var memberCount = flag.Int("members", 100, "how many members the measurement has")
 
-// simulation is members in virtual time, with ways that lose, double and are cut.
+// simulation runs members in virtual time. Messages between them are lost, duplicated and blocked.
 type simulation struct {
 	rng          *rand.Rand
 	now          time.Duration
@@ -28,6 +28,7 @@
 	checkError   error
 }
 
+// messageInFlight is a message that has been sent and arrives at a later time.
 type messageInFlight struct {
 	arrivesAt time.Duration
 	from, to  int
@@ -37,77 +38,79 @@
 func memberName(i int) string { return fmt.Sprintf("m%04d", i) }
 
 func newSimulation(seed uint64, n int) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 32)), blocked: map[[2]int]bool{}}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 32)), blocked: map[[2]int]bool{}}
 	var names []string
 	for i := range n {
 		names = append(names, memberName(i))
 	}
 	for i := range n {
-		c := New(memberName(i), w.rng.Uint64(), rand.New(rand.NewPCG(seed, uint64(i))))
-		c.SetMembers(names)
-		w.cores = append(w.cores, c)
+		core := New(memberName(i), s.rng.Uint64(), rand.New(rand.NewPCG(seed, uint64(i))))
+		core.SetMembers(names)
+		s.cores = append(s.cores, core)
 	}
-	return w
+	return s
 }
 
+// size returns the approximate encoded size of the message in bytes.
 func (m *Message) size() int {
 	n := 100 + 40*len(m.Digests) + 40*len(m.Requests)
-	for _, p := range m.Updates {
-		n += p.approximateBytes()
+	for _, u := range m.Updates {
+		n += u.approximateBytes()
 	}
 	return n
 }
 
-func (w *simulation) sendReady(i int) {
-	for _, s := range w.cores[i].Ready() {
+// sendReady puts the outgoing messages of a member in flight, and checks each of them.
+func (s *simulation) sendReady(i int) {
+	for _, envelope := range s.cores[i].Ready() {
 		var to int
-		fmt.Sscanf(s.To, "m%d", &to)
-		w.messagesSent++
-		w.bytesSent += s.Message.size()
-		if err := s.Message.Check(); err != nil {
-			w.checkError = err
+		fmt.Sscanf(envelope.To, "m%d", &to)
+		s.messagesSent++
+		s.bytesSent += envelope.Message.size()
+		if err := envelope.Message.Check(); err != nil {
+			s.checkError = err
 		}
-		for w.rng.Float64() >= w.lossRate && !w.blocked[[2]int{i, to}] {
-			w.inFlight = append(w.inFlight, messageInFlight{w.now + time.Duration(w.rng.Int64N(int64(20*time.Millisecond))), i, to, s.Message})
-			if w.rng.IntN(10) > 0 { // one in ten comes twice
+		for s.rng.Float64() >= s.lossRate && !s.blocked[[2]int{i, to}] {
+			s.inFlight = append(s.inFlight, messageInFlight{s.now + time.Duration(s.rng.Int64N(int64(20*time.Millisecond))), i, to, envelope.Message})
+			if s.rng.IntN(10) > 0 { // one message in ten is duplicated
 				break
 			}
 		}
 	}
 }
 
-// advance lets so much time pass, all ticking at about the same times.
-func (w *simulation) advance(d time.Duration) {
-	for end := w.now + d; w.now < end; w.now += 10 * time.Millisecond {
-		due := w.inFlight
-		w.inFlight = nil
-		for _, f := range due {
-			if f.arrivesAt > w.now {
-				w.inFlight = append(w.inFlight, f)
+// advance lets a duration pass in steps of 10 ms. Each member ticks every TickInterval, 7 ms after the member before it.
+func (s *simulation) advance(d time.Duration) {
+	for end := s.now + d; s.now < end; s.now += 10 * time.Millisecond {
+		sent := s.inFlight
+		s.inFlight = nil
+		for _, message := range sent {
+			if message.arrivesAt > s.now {
+				s.inFlight = append(s.inFlight, message)
 				continue
 			}
-			w.cores[f.to].Receive(w.now, memberName(f.from), f.message)
-			w.sendReady(f.to)
+			s.cores[message.to].Receive(s.now, memberName(message.from), message.message)
+			s.sendReady(message.to)
 		}
-		for i, c := range w.cores {
-			if (w.now+time.Duration(i)*7*time.Millisecond)%TickInterval < 10*time.Millisecond {
-				c.Tick(w.now)
-				w.sendReady(i)
+		for i, c := range s.cores {
+			if (s.now+time.Duration(i)*7*time.Millisecond)%TickInterval < 10*time.Millisecond {
+				c.Tick(s.now)
+				s.sendReady(i)
 			}
 		}
 	}
 }
 
-func (w *simulation) announce(i int, v version.Vector) {
-	w.cores[i].Announce(w.now, v, time.UnixMilli(0))
-	w.sendReady(i)
+func (s *simulation) announce(i int, vector version.Vector) {
+	s.cores[i].Announce(s.now, vector, time.UnixMilli(0))
+	s.sendReady(i)
 }
 
-// allStatesKnown tells whether all know of all what each acts on.
-func (w *simulation) allStatesKnown() bool {
-	for _, c := range w.cores {
-		for _, o := range w.cores {
-			if k := c.peers[o.self.Name]; o.self.Seq > 0 && c != o && (k == nil || k.Incarnation != o.self.Incarnation || k.Seq != o.self.Seq) {
+// allStatesKnown reports whether all members know the sequence number of the latest state of each member.
+func (s *simulation) allStatesKnown() bool {
+	for _, c := range s.cores {
+		for _, other := range s.cores {
+			if peer := c.peers[other.self.Name]; other.self.Seq > 0 && c != other && (peer == nil || peer.Incarnation != other.self.Incarnation || peer.Seq != other.self.Seq) {
 				return false
 			}
 		}
@@ -115,11 +118,11 @@
 	return true
 }
 
-// allVectorsMatch tells whether what all know of all is what each acts on.
-func (w *simulation) allVectorsMatch() bool {
-	for _, c := range w.cores {
-		for _, o := range w.cores {
-			if k, ok := c.Peer(o.self.Name); o.self.Seq > 0 && (!ok || !slices.EqualFunc(k.Vector, o.self.Vector, equalEntries)) {
+// allVectorsMatch reports whether the vectors that all members know are those that each member applies.
+func (s *simulation) allVectorsMatch() bool {
+	for _, c := range s.cores {
+		for _, other := range s.cores {
+			if peer, ok := c.Peer(other.self.Name); other.self.Seq > 0 && (!ok || !slices.EqualFunc(peer.Vector, other.self.Vector, equalEntries)) {
 				return false
 			}
 		}
@@ -127,61 +130,63 @@
 	return true
 }
 
-func (w *simulation) awaitConvergence(t interface{ Fatalf(string, ...any) }, within time.Duration) time.Duration {
-	from := w.now
-	for !w.allStatesKnown() {
-		if w.now-from > within {
-			t.Fatalf("not known by all after %v", within)
+// awaitConvergence lets time pass until all members know the states of all members, and returns how long that took. The test
+// fails if it takes longer than timeout.
+func (s *simulation) awaitConvergence(t interface{ Fatalf(string, ...any) }, timeout time.Duration) time.Duration {
+	start := s.now
+	for !s.allStatesKnown() {
+		if s.now-start > timeout {
+			t.Fatalf("members have not converged after %v", timeout)
 		}
-		w.advance(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 	}
-	if w.checkError != nil || !w.allVectorsMatch() {
-		t.Fatalf("what is known is not what is acted on; %v", w.checkError)
+	if s.checkError != nil || !s.allVectorsMatch() {
+		t.Fatalf("known vectors differ from the applied ones, or a message failed Check: %v", s.checkError)
 	}
-	return w.now - from
+	return s.now - start
 }
 
-func entry(k version.Kind, n string, is int) version.Entry {
-	return version.Entry{Kind: k, Name: n, Hash: version.HashOf(fmt.Append(nil, is)), Description: fmt.Sprint(is)}
+func entry(kind version.Kind, name string, content int) version.Entry {
+	return version.Entry{Kind: kind, Name: name, Hash: version.HashOf(fmt.Append(nil, content)), Description: fmt.Sprint(content)}
 }
 
-// Members that say one thing after another, start anew with nothing and under their old names, lose and double messages and
-// are cut off for a time, all end up knowing what each acts on, whatever has been lost.
+// All members end up with the vectors that the others apply, although members announce several vectors, restart under their
+// names without state, and are isolated for a time, while messages are lost and duplicated.
 func TestMembersConvergeAfterLossPartitionAndRestart(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.SampledFrom([]int{2, 3, 5, 12}).Draw(r, "members")
-		w := newSimulation(rapid.Uint64().Draw(r, "seed"), n)
-		w.lossRate = rapid.SampledFrom([]float64{0, 0.3, 0.6}).Draw(r, "loss")
+		s := newSimulation(rapid.Uint64().Draw(r, "seed"), n)
+		s.lossRate = rapid.SampledFrom([]float64{0, 0.3, 0.6}).Draw(r, "loss")
 		vectors := make([]version.Vector, n)
 		for range rapid.IntRange(1, 25).Draw(r, "steps") {
-			i := rapid.IntRange(0, n-1).Draw(r, "who")
+			member := rapid.IntRange(0, n-1).Draw(r, "who")
 			switch rapid.IntRange(0, 8).Draw(r, "what") {
-			case 0: // another process
-				w.cores[i] = New(memberName(i), w.rng.Uint64(), w.rng)
-				w.cores[i].SetMembers(memberNames(n))
-				vectors[i] = nil
-				w.announce(i, vectors[i].With(entry(version.Build, "", 1)))
+			case 0: // restart
+				s.cores[member] = New(memberName(member), s.rng.Uint64(), s.rng)
+				s.cores[member].SetMembers(memberNames(n))
+				vectors[member] = nil
+				s.announce(member, vectors[member].With(entry(version.Build, "", 1)))
 			case 1:
 				for j := range n {
-					w.blocked[[2]int{i, j}] = !w.blocked[[2]int{i, j}]
+					s.blocked[[2]int{member, j}] = !s.blocked[[2]int{member, j}]
 				}
 			case 2:
-				if len(vectors[i]) > 0 {
-					vectors[i] = vectors[i].Without(vectors[i][0].Kind, vectors[i][0].Name)
-					w.announce(i, vectors[i])
+				if len(vectors[member]) > 0 {
+					vectors[member] = vectors[member].Without(vectors[member][0].Kind, vectors[member][0].Name)
+					s.announce(member, vectors[member])
 				}
 			default:
 				kind := rapid.SampledFrom([]version.Kind{version.Configuration, version.List}).Draw(r, "kind")
 				for range rapid.SampledFrom([]int{1, 1, 3, 90}).Draw(r, "how many") {
-					vectors[i] = vectors[i].With(entry(kind, fmt.Sprint(w.rng.IntN(120)), w.rng.IntN(1000)))
+					vectors[member] = vectors[member].With(entry(kind, fmt.Sprint(s.rng.IntN(120)), s.rng.IntN(1000)))
 				}
-				w.announce(i, vectors[i])
+				s.announce(member, vectors[member])
 			}
-			w.advance(time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond)
+			s.advance(time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond)
 		}
-		clear(w.blocked)
-		w.awaitConvergence(r, 10*time.Minute) // by two of which one message in six makes its three ways
+		clear(s.blocked)
+		s.awaitConvergence(r, 10*time.Minute) // two members at 60% loss: one message in six gets through three transmissions
 	})
 }
 
@@ -192,101 +197,102 @@
 	return out
 }
 
-// A word that was said before is never taken for the later one, whoever tells it when; nor one of a process that has been
-// followed by another under its name.
+// An earlier state never replaces a later one, whichever member forwards it and when. Nor does a state of an earlier process
+// replace one of a later process with its name.
 func TestOlderStateIsIgnored(t *testing.T) {
 	t.Parallel()
-	c := New("a", 1, rand.New(rand.NewPCG(1, 1)))
-	old := MemberState{Name: "b", Incarnation: 7, Generation: 1}
-	one := old.successor(version.Vector{entry(version.Configuration, "", 1)}, 0)
-	two := one.successor(version.Vector{entry(version.Configuration, "", 2)}, 0)
-	anew := MemberState{Name: "b", Incarnation: 3, Generation: 2}
-	three := anew.successor(version.Vector{entry(version.Configuration, "", 3)}, 0)
-	has := func(want uint64, life uint64) {
+	core := New("a", 1, rand.New(rand.NewPCG(1, 1)))
+	earlierProcess := MemberState{Name: "b", Incarnation: 7, Generation: 1}
+	first := earlierProcess.successor(version.Vector{entry(version.Configuration, "", 1)}, 0)
+	second := first.successor(version.Vector{entry(version.Configuration, "", 2)}, 0)
+	laterProcess := MemberState{Name: "b", Incarnation: 3, Generation: 2}
+	third := laterProcess.successor(version.Vector{entry(version.Configuration, "", 3)}, 0)
+	expectState := func(seq uint64, incarnation uint64) {
 		t.Helper()
-		if k, _ := c.Peer("b"); k.Seq != want || k.Incarnation != life {
-			t.Errorf("knows word %d of %d, want %d of %d", k.Seq, k.Incarnation, want, life)
+		if peer, _ := core.Peer("b"); peer.Seq != seq || peer.Incarnation != incarnation {
+			t.Errorf("known state has sequence number %d of incarnation %d, want %d of %d", peer.Seq, peer.Incarnation, seq, incarnation)
 		}
 	}
-	tell := func(parts ...Update) { c.Receive(time.Second, "x", &Message{Updates: parts}) }
-	tell(two.changesSince(7, 1))
-	has(0, 0) // what it follows is not known
-	tell(two.changesSince(0, 0))
-	has(2, 7)
-	tell(one.changesSince(0, 0))
-	has(2, 7)
-	tell(three.changesSince(0, 0))
-	has(1, 3)
-	tell(two.changesSince(0, 0), one.changesSince(0, 0))
-	has(1, 3)
-	forged := three.successor(version.Vector{entry(version.Configuration, "", 4)}, 0)
-	part := forged.changesSince(3, 1)
-	part.VectorHash = version.HashOf([]byte("else"))
-	tell(part)
-	has(1, 3) // its parts do not make what it says
+	receive := func(updates ...Update) { core.Receive(time.Second, "x", &Message{Updates: updates}) }
+	receive(second.changesSince(7, 1))
+	expectState(0, 0) // the base state is not known
+	receive(second.changesSince(0, 0))
+	expectState(2, 7)
+	receive(first.changesSince(0, 0))
+	expectState(2, 7)
+	receive(third.changesSince(0, 0))
+	expectState(1, 3)
+	receive(second.changesSince(0, 0), first.changesSince(0, 0))
+	expectState(1, 3)
+	forged := third.successor(version.Vector{entry(version.Configuration, "", 4)}, 0)
+	update := forged.changesSince(3, 1)
+	update.VectorHash = version.HashOf([]byte("else"))
+	receive(update)
+	expectState(1, 3) // the vector does not have the hash of the update
 }
 
-// Of an entry that went long ago one who has been away learns all the same: it is told the whole.
+// A member that was away learns of deleted entries even if their tombstones were dropped meanwhile: it gets the complete state.
 func TestUpdateIsCompleteWhenDeletionsAreForgotten(t *testing.T) {
 	t.Parallel()
-	w := MemberState{Name: "b", Incarnation: 7, Generation: 1}
-	var v version.Vector
+	state := MemberState{Name: "b", Incarnation: 7, Generation: 1}
+	var vector version.Vector
 	for i := range 200 {
-		v = v.With(entry(version.List, fmt.Sprint(i), i))
+		vector = vector.With(entry(version.List, fmt.Sprint(i), i))
 	}
-	w = w.successor(v, 0)
-	known := w
+	state = state.successor(vector, 0)
+	old := state
 	for i := range 150 {
-		v = v.Without(version.List, fmt.Sprint(i))
-		w = w.successor(v, 0)
+		vector = vector.Without(version.List, fmt.Sprint(i))
+		state = state.successor(vector, 0)
 	}
-	for _, from := range []MemberState{known, w, {}} {
-		p := w.changesSince(from.Incarnation, from.Seq)
-		if p.Seq == p.BaseSeq {
+	for _, known := range []MemberState{old, state, {}} {
+		update := state.changesSince(known.Incarnation, known.Seq)
+		if update.Seq == update.BaseSeq {
 			continue
 		}
-		if err := p.check(); err != nil {
+		if err := update.check(); err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := p.apply(&from); !ok || got.Vector.Digest() != v.Digest() {
-			t.Errorf("since %d: %d entries of %d", from.Seq, len(got.Vector), len(v))
+		if got, ok := update.apply(&known); !ok || got.Vector.Digest() != vector.Digest() {
+			t.Errorf("update since sequence number %d gives %d entries, want the vector of %d entries", known.Seq, len(got.Vector), len(vector))
 		}
 	}
-	if len(w.Tombstones) > maxTombstones || w.CompactedSeq == 0 {
-		t.Errorf("%d that went are kept, floor %d", len(w.Tombstones), w.CompactedSeq)
+	if len(state.Tombstones) > maxTombstones || state.CompactedSeq == 0 {
+		t.Errorf("%d tombstones are kept, dropped up to sequence number %d", len(state.Tombstones), state.CompactedSeq)
 	}
 }
 
-// What nothing but a fault or an attack can send is refused.
+// Check rejects messages that only a faulty or malicious member can send.
 func TestCheckRejectsInvalidMessages(t *testing.T) {
 	t.Parallel()
-	w := MemberState{Name: "b", Incarnation: 7, Generation: 1}
-	good := (&w).successor(version.Vector{entry(version.List, "x", 1), entry(version.List, "y", 1)}, 0)
-	if err := (&Message{Updates: []Update{good.changesSince(0, 0)}}).Check(); err != nil {
+	initial := MemberState{Name: "b", Incarnation: 7, Generation: 1}
+	valid := (&initial).successor(version.Vector{entry(version.List, "x", 1), entry(version.List, "y", 1)}, 0)
+	if err := (&Message{Updates: []Update{valid.changesSince(0, 0)}}).Check(); err != nil {
 		t.Fatal(err)
 	}
-	for what, spoil := range map[string]func(p *Update){
-		"no name": func(p *Update) { p.Name = "" }, "base": func(p *Update) { p.BaseSeq = p.Seq }, "no times": func(p *Update) { p.ChangedAt = nil },
-		"times": func(p *Update) { p.ChangedAt = []uint64{1, 99} }, "order": func(p *Update) { p.Changed = slices.Clone(p.Changed); slices.Reverse(p.Changed) },
-		"start": func(p *Update) { p.Generation = 1 << 63 }, "gone": func(p *Update) { p.Tombstones = make([]Tombstone, maxTombstones+1) },
+	for fault, corrupt := range map[string]func(u *Update){
+		"empty name": func(u *Update) { u.Name = "" }, "base not before the update": func(u *Update) { u.BaseSeq = u.Seq }, "no sequence numbers of changes": func(u *Update) { u.ChangedAt = nil },
+		"change after the update": func(u *Update) { u.ChangedAt = []uint64{1, 99} }, "entries out of order": func(u *Update) { u.Changed = slices.Clone(u.Changed); slices.Reverse(u.Changed) },
+		"generation over the maximum": func(u *Update) { u.Generation = 1 << 63 }, "too many tombstones": func(u *Update) { u.Tombstones = make([]Tombstone, maxTombstones+1) },
 	} {
-		p := good.changesSince(0, 0)
-		spoil(&p)
-		if (&Message{Updates: []Update{p}}).Check() == nil {
-			t.Errorf("%s passed", what)
+		update := valid.changesSince(0, 0)
+		corrupt(&update)
+		if (&Message{Updates: []Update{update}}).Check() == nil {
+			t.Errorf("update passed Check: %s", fault)
 		}
 	}
 	if (&Message{Digests: make([]Digest, maxDigests+1)}).Check() == nil || (&Message{Requests: make([]Request, 1)}).Check() == nil || (&Message{Digests: make([]Digest, 1)}).Check() == nil {
-		t.Error("passed")
+		t.Error("message with too many digests or an empty name passed Check")
 	}
 }
 
-// How long it takes until all know of one that has changed its configuration, and of all that have, and of a list that has
-// changed everywhere; and what it costs when nothing changes. -members makes it larger, -v prints the figures.
+// Measures the time until all members know that one or all of them have changed the configuration, or that an endpoint list has
+// changed at all members. It also measures the traffic without changes. -members sets the number of members, -v prints the
+// figures.
 func TestMeasureConvergence(t *testing.T) {
 	t.Parallel()
 	n := *memberCount
-	w := newSimulation(32, n)
+	s := newSimulation(32, n)
 	vector := func(conf, list int) (v version.Vector) {
 		v = v.With(entry(version.Configuration, "", conf))
 		for i := range 20 {
@@ -294,32 +300,32 @@
 		}
 		return v
 	}
-	play := func(what string, do func()) {
-		w.messagesSent, w.bytesSent = 0, 0
-		from := w.now
-		do()
-		took := w.awaitConvergence(t, 5*time.Minute)
-		for w.now-from < 10*time.Second {
-			w.advance(time.Second)
+	measure := func(scenario string, announce func()) {
+		s.messagesSent, s.bytesSent = 0, 0
+		start := s.now
+		announce()
+		took := s.awaitConvergence(t, 5*time.Minute)
+		for s.now-start < 10*time.Second {
+			s.advance(time.Second)
 		}
-		each := func(x int) float64 { return float64(x) / float64(n) / (w.now - from).Seconds() }
-		t.Logf("%d members, %s: known by all after %v; %.1f messages, %.0f bytes a second each over %v", n, what, took, each(w.messagesSent), each(w.bytesSent), w.now-from)
+		perMemberAndSecond := func(x int) float64 { return float64(x) / float64(n) / (s.now - start).Seconds() }
+		t.Logf("%d members, %s: converged after %v; %.1f messages and %.0f bytes per member and second over %v", n, scenario, took, perMemberAndSecond(s.messagesSent), perMemberAndSecond(s.bytesSent), s.now-start)
 	}
-	play("all begin", func() {
+	measure("all members start", func() {
 		for i := range n {
-			w.announce(i, vector(1, 1))
+			s.announce(i, vector(1, 1))
 		}
 	})
-	play("nothing changes", func() {})
-	play("one takes a configuration", func() { w.announce(n/2, vector(2, 1)) })
-	play("all take it", func() {
+	measure("nothing changes", func() {})
+	measure("one member changes its configuration", func() { s.announce(n/2, vector(2, 1)) })
+	measure("all members change their configuration", func() {
 		for i := range n {
-			w.announce(i, vector(3, 1))
+			s.announce(i, vector(3, 1))
 		}
 	})
-	play("a list changes everywhere", func() {
+	measure("an endpoint list changes at all members", func() {
 		for i := range n {
-			w.announce(i, vector(3, 2))
+			s.announce(i, vector(3, 2))
 		}
 	})
 }
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -13,21 +13,21 @@
 	Name            string
 	Incarnation     uint64
 	Generation, Seq uint64
-	AgeMilliseconds uint32 // since the member confirmed by itself that the state holds
+	AgeMilliseconds uint32 // since the member itself last confirmed the state
 }
 
-// Request asks for a member's state, by a member that knows an earlier one.
+// Request asks for a member's state. It names the state that the requesting member knows; zeros mean none.
 type Request struct {
 	Name                  string
 	Incarnation, KnownSeq uint64
 }
 
-// Update is what has changed in a member's state since an earlier one of the same process.
+// Update holds the changes of a member's state since an earlier state of the same process.
 type Update struct {
 	Name            string
 	Incarnation     uint64
 	Generation, Seq uint64
-	BaseSeq         uint64 // of the earlier state; zero: the update holds all of it
+	BaseSeq         uint64 // of the earlier state; zero: the update holds the complete state
 	Changed         version.Vector
 	ChangedAt       []uint64
 	Tombstones      []Tombstone
@@ -36,21 +36,21 @@
 	VectorHash      version.Hash // of the whole vector
 }
 
-// Tombstone is an entry that was deleted.
+// Tombstone records that an entry was deleted.
 type Tombstone struct {
 	Kind      version.Kind
 	Name      string
 	DeletedAt uint64 // sequence number
 }
 
-// Message is what members send each other.
+// Message is a message between two members.
 type Message struct {
 	Digests  []Digest
 	Requests []Request
 	Updates  []Update
 }
 
-// addUpdate adds an update where there is room.
+// addUpdate adds an update if the limits of a response allow it.
 func (m *Message) addUpdate(u Update) {
 	bytes := 0
 	for _, added := range m.Updates {
@@ -61,26 +61,26 @@
 	}
 }
 
-// addRequest adds a request where there is room.
+// addRequest adds a request if the message has fewer than maxRequests.
 func (m *Message) addRequest(name string, incarnation, knownSeq uint64) {
 	if len(m.Requests) < maxRequests {
 		m.Requests = append(m.Requests, Request{Name: name, Incarnation: incarnation, KnownSeq: knownSeq})
 	}
 }
 
-// Check returns an error for a message that no member sends.
+// Check returns an error for a message that no correct member sends.
 func (m *Message) Check() error {
 	if len(m.Digests) > maxDigests || len(m.Requests) > maxRequests || len(m.Updates) > maxUpdates {
-		return errors.New("gossip: a message with too many parts")
+		return errors.New("gossip: message has too many digests, requests or updates")
 	}
 	for _, d := range m.Digests {
 		if !isValidName(d.Name) {
-			return errors.New("gossip: a digest without a valid name")
+			return errors.New("gossip: digest has an empty or too long member name")
 		}
 	}
 	for _, r := range m.Requests {
 		if !isValidName(r.Name) {
-			return errors.New("gossip: a request without a valid name")
+			return errors.New("gossip: request has an empty or too long member name")
 		}
 	}
 	for _, u := range m.Updates {
@@ -96,20 +96,20 @@
 func (u *Update) check() error {
 	switch {
 	case !isValidName(u.Name):
-		return errors.New("gossip: an update without a valid name")
+		return errors.New("gossip: update has an empty or too long member name")
 	case u.Seq == 0 || u.BaseSeq >= u.Seq || u.Generation > maxGeneration:
-		return errors.New("gossip: an update with invalid sequence numbers")
+		return errors.New("gossip: update has invalid sequence numbers or an invalid generation")
 	case len(u.ChangedAt) != len(u.Changed) || len(u.Tombstones) > maxTombstones:
-		return errors.New("gossip: an update whose parts do not match")
+		return errors.New("gossip: update has too many tombstones, or not one sequence number for each changed entry")
 	}
 	for _, at := range u.ChangedAt {
 		if at > u.Seq || at <= u.BaseSeq {
-			return errors.New("gossip: an update with a change outside its sequence numbers")
+			return errors.New("gossip: update has a change outside its range of sequence numbers")
 		}
 	}
 	for _, t := range u.Tombstones {
 		if len(t.Name) > maxNameBytes || t.DeletedAt > u.Seq {
-			return errors.New("gossip: an update with an invalid tombstone")
+			return errors.New("gossip: update has an invalid tombstone")
 		}
 	}
 	return u.Changed.Check()
@@ -123,7 +123,7 @@
 	tombstoneBytes = 24
 )
 
-// approximateBytes returns about how many bytes an update takes.
+// approximateBytes returns the approximate encoded size of the update.
 func (u *Update) approximateBytes() int {
 	n := updateBytes + len(u.Name)
 	for _, e := range u.Changed {
--- a/internal/fleet/gossip/state.go
+++ b/internal/fleet/gossip/state.go
@@ -9,22 +9,22 @@
 // maxTombstones is how many deleted entries a state remembers.
 const maxTombstones = 64
 
-// MemberState is what a member has announced. It belongs to one process: a restarted process is another one, and its sequence
-// numbers begin again.
+// MemberState is the state that a member has announced. It belongs to one process: after a restart the incarnation differs, and
+// the sequence numbers begin again.
 type MemberState struct {
 	Name         string
 	Incarnation  uint64 // of the process
-	Generation   uint64 // counts the starts under this name, as far as is known: a later process has a higher one
+	Generation   uint64 // counts the known starts of processes under this name: a later process has a higher generation
 	Seq          uint64 // counts the announcements of the process
 	Vector       version.Vector
 	VectorHash   version.Hash
 	ChangedAt    []uint64    // of each entry of the vector: the sequence number of its last change
 	Tombstones   []Tombstone // in the order of their deletion
-	CompactedSeq uint64      // deletions up to this sequence number are forgotten
+	CompactedSeq uint64      // tombstones up to this sequence number have been dropped
 	AppliedAt    int64       // when the member began to apply the vector, by its own clock, in Unix milliseconds
 }
 
-// successor returns the state of a member that applies another vector.
+// successor returns the next state of a member, which applies another vector.
 func (s *MemberState) successor(vector version.Vector, appliedAt int64) MemberState {
 	next := MemberState{
 		Name:         s.Name,
@@ -47,7 +47,8 @@
 	return next
 }
 
-// addTombstones adds the deletions since an earlier state, and forgets the oldest ones beyond the bound.
+// addTombstones adds tombstones for the entries that were deleted since the previous state, and drops the oldest ones beyond
+// maxTombstones.
 func (s *MemberState) addTombstones(previous *MemberState) {
 	for _, t := range previous.Tombstones {
 		if _, restored := s.Vector.Find(t.Kind, t.Name); !restored {
@@ -70,8 +71,8 @@
 	return a.Hash == b.Hash && a.Number == b.Number && a.Description == b.Description && slices.Equal(a.Ancestors, b.Ancestors)
 }
 
-// isSupersededBy reports whether a state of the same name follows this one: the next state of the process, or a state of a
-// process that was started after it.
+// isSupersededBy reports whether another state of the same name replaces this one: a later state of the same process, or a
+// state of a process that was started later.
 func (s *MemberState) isSupersededBy(incarnation, generation, seq uint64) bool {
 	switch {
 	case incarnation == s.Incarnation:
@@ -79,11 +80,11 @@
 	case generation != s.Generation:
 		return generation > s.Generation
 	}
-	return incarnation > s.Incarnation // two processes of one name at the same time: one of them is told to end
+	return incarnation > s.Incarnation // two processes run under one name at the same time, until one of them is told to end
 }
 
-// changesSince returns the update from an earlier state of a process. For another process, and for a state that is too old, the
-// update holds all.
+// changesSince returns the update from an earlier state. The update holds the complete state if the earlier one belongs to
+// another process or is older than the dropped tombstones.
 func (s *MemberState) changesSince(incarnation, seq uint64) Update {
 	if incarnation != s.Incarnation || seq < s.CompactedSeq || seq > s.Seq {
 		seq = 0
@@ -112,8 +113,8 @@
 	return update
 }
 
-// apply returns the state after an update of an earlier one. It is not ok if the update is not based on that state, or if
-// the result differs from what the member has announced.
+// apply returns the state after an update of an earlier state. ok is false if the update is not based on that state, or if the
+// result differs from the vector that the member has announced.
 func (u *Update) apply(before *MemberState) (state MemberState, ok bool) {
 	state = MemberState{
 		Name:         u.Name,
@@ -137,7 +138,7 @@
 	return state, state.VectorHash == u.VectorHash
 }
 
-// mergeVector returns the vector after the update, and when each entry changed.
+// mergeVector returns the vector after the update, and the sequence number of the last change of each entry.
 func (u *Update) mergeVector(before *MemberState) (vector version.Vector, changedAt []uint64) {
 	for i, e := range before.Vector {
 		_, changed := u.Changed.Find(e.Kind, e.Name)
--- a/internal/fleet/ownership/message.go
+++ b/internal/fleet/ownership/message.go
@@ -9,33 +9,33 @@
 
 // The messages are encoded as arrays in the order of their fields, which must not change.
 
-// AttemptID identifies one request of one process. The process is a random number drawn at its start, so that a restarted
-// process is another one.
+// AttemptID identifies a request in proposals and releases. Process is a random number that each process draws at its start,
+// so that the IDs of a restarted process differ from its earlier ones.
 type AttemptID struct {
 	Process uint64 `codec:"Process"`
 	Number  uint64 `codec:"Number"`
 }
 
-// Proposal asks a voter to agree that the attempts of a key go to a place.
+// Proposal asks a voter to agree that the attempts of a request with an idempotency key go to a place.
 type Proposal struct {
 	Attempt   AttemptID
-	Round     uint32 // of the attempt; a proposal with another place has a higher one and replaces the earlier one
+	Round     uint32 // increases with each other place that is proposed for the request; replaces the proposals of lower rounds
 	Key       idempotency.KeyID
 	Place     idempotency.Place
 	Scope     lbpolicy.Scope
 	Window    time.Duration
 	Retention time.Duration
-	TTL       time.Duration // no attempt starts under the proposal after this time, counted from its making
+	TTL       time.Duration // no attempt starts under the proposal once this time has passed since its creation
 }
 
-// Vote is a voter's answer to a proposal.
+// Vote is a voter's decision on a proposal.
 type Vote uint8
 
 // The votes.
 const (
-	Abstain       Vote = iota // the voter cannot tell: it has started lately, or has no capacity for more keys
-	Grant                     // the voter agrees
-	HeldElsewhere             // the key may have run, or is running, where this attempt must not follow
+	Abstain       Vote = iota // the voter cannot decide, for example because it restarted recently or has no capacity for more keys
+	Grant                     // the voter agrees to the proposed place
+	HeldElsewhere             // attempts with the key may have run elsewhere or are running there, or the key's window is over
 )
 
 // Response answers a Proposal.
@@ -43,23 +43,23 @@
 	Attempt   AttemptID
 	Round     uint32
 	Vote      Vote
-	Place     idempotency.Place // of the group that owns the key
-	Split     bool              // whether several groups have had the key
-	Remaining time.Duration     // to send further attempts, from the response on
+	Place     idempotency.Place // in the group that owns the key, as far as the voter knows one
+	Split     bool              // whether attempts with the key went to several groups
+	Remaining time.Duration     // time left to send further attempts, counted from the response
 }
 
 // Release tells a voter that a request has ended.
 type Release struct {
 	Attempt  AttemptID
-	NeverRan bool // all its attempts are known never to have run
+	NeverRan bool // whether it is known that none of its attempts ran
 }
 
-// KeyState is what one voter tells another about a key. Times count from the message on.
+// KeyState is a voter's record of a key, as it is sent to another voter. Durations count from the message.
 type KeyState struct {
 	Key          idempotency.KeyID
 	Place        idempotency.Place
-	SeveralZones bool // attempts went to several zones
-	SeveralCells bool // attempts went to several cells
-	RetryFor     time.Duration
+	SeveralZones bool          // attempts went to several zones
+	SeveralCells bool          // attempts went to several cells
+	RetryFor     time.Duration // how long further attempts may be decided on
 	ExpiresIn    time.Duration
 }
--- a/internal/fleet/ownership/model_test.go
+++ b/internal/fleet/ownership/model_test.go
@@ -17,15 +17,15 @@
 
 var searchDepth = flag.Int("deep", 2, "depth of the exhaustive search")
 
-// The model drives the voters and askers that run in service through every order of events up to a depth: three processes,
-// each of them a voter, that ask for two keys in two zones, while messages are lost, doubled and overtaken, processes die
-// and come back without a memory, and time passes anywhere, which is what a paused process is. A message that was sent
-// once can come at any time from then on, any number of times, or never.
+// The model drives real Voters and Proposers through every order of events up to a depth. Three processes, each of them a
+// voter, propose places in two zones for two keys. Messages are lost, duplicated and reordered: a message that was sent can
+// arrive at any later time, repeatedly, or never. Processes crash and restart without their state. Time may pass between any
+// two events, which also covers paused processes.
 const (
 	ttl        = 2 * time.Second
 	window     = 4 * time.Second
 	retention  = 2 * time.Second
-	abstainFor = ttl + window + retention // of a voter that has started
+	abstainFor = ttl + window + retention // how long a restarted voter abstains
 )
 
 var (
@@ -34,19 +34,19 @@
 	south     = idempotency.Place{Cluster: "c", Zone: "south"}
 )
 
-// scriptedRequest is a request of a script.
+// scriptedRequest is a request that a process makes in the model.
 type scriptedRequest struct {
 	process int
 	key     string
 	place   idempotency.Place
 }
 
-// requestRun is one process's request under way.
+// requestRun is the progress of a scripted request.
 type requestRun struct {
 	proposer  *Proposer
-	proposals []Proposal    // of all turns
-	responses [3][]Response // that each voter has given
-	delivered [3][2]int     // how often each ask has come to each voter
+	proposals []Proposal    // by round
+	responses [3][]Response // by voter
+	delivered [3][2]int     // how often each proposal was delivered, by voter and round
 	release   *Release
 	place     idempotency.Place
 	done      bool
@@ -54,42 +54,56 @@
 	adopted   bool
 }
 
-// startedAttempt is an attempt that has gone out.
+// startedAttempt is an attempt that was sent.
 type startedAttempt struct {
 	key   string
 	place idempotency.Place
 	at    time.Time
 }
 
+// model is the state of the processes and the messages that they have sent.
 type model struct {
 	script          []scriptedRequest
 	now             time.Time
 	voters          [3]*Voter
-	incarnations    [3]int // lives of each process
+	incarnations    [3]int // restarts of each process
 	requests        []*requestRun
 	startedAttempts []startedAttempt
 	crashes         int
 	waits           int
-	skipAbstention  bool // processes that start anew are not silent: the fault that the model must find
+	skipAbstention  bool // restarted voters do not abstain: the fault that the search has to find
 }
 
 func newModel(script []scriptedRequest) *model {
-	w := &model{script: script, now: startTime, requests: make([]*requestRun, len(script))}
-	for i := range w.voters {
-		w.voters[i] = NewVoter(startTime, VoterOptions{MaxKeys: 16, MaxProposalTTL: ttl})
+	m := &model{script: script, now: startTime, requests: make([]*requestRun, len(script))}
+	for i := range m.voters {
+		m.voters[i] = NewVoter(startTime, VoterOptions{MaxKeys: 16, MaxProposalTTL: ttl})
 	}
-	return w
+	return m
 }
 
-// possibleEvents lists what can happen now, by names that replay the same.
-func (w *model) possibleEvents() (out []string) {
+// possibleEvents lists the events that can happen now. Applying the same events in the same order gives the same state. The
+// numbers in an event are indexes of requests (R), voters (V), processes (P) and messages (N):
+//
+//	ask R        request R proposes the place in its script
+//	vote R V N   voter V receives proposal N of request R
+//	hear R V N   request R receives response N of voter V
+//	start R      request R sends its attempt
+//	adopt R      request R proposes the place of the group that owns its key
+//	ended R      the attempt of request R ends
+//	fail R       request R ends without having sent an attempt
+//	end R V      voter V receives the release of request R
+//	crash P      process P restarts without its state
+//	copy V P     voter V merges the snapshot of process P's voter
+//	wait S       S seconds pass
+func (m *model) possibleEvents() (out []string) {
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for i, r := range w.requests {
+	for i, r := range m.requests {
 		if r == nil {
 			add("ask %d", i)
 			continue
 		}
-		for v := range w.voters {
+		for v := range m.voters {
 			for n := range r.proposals {
 				if r.delivered[v][n] < 2 {
 					add("vote %d %d %d", i, v, n)
@@ -107,10 +121,10 @@
 		if r.done {
 			continue
 		}
-		switch state, past := r.proposer.State(); {
+		switch state, keyState := r.proposer.State(); {
 		case r.started:
 			add("ended %d", i)
-		case state == Claimed && r.proposer.IsValid(w.now) && w.now.Before(past.RetryUntil):
+		case state == Claimed && r.proposer.IsValid(m.now) && m.now.Before(keyState.RetryUntil):
 			add("start %d", i)
 		case state == OwnedElsewhere && !r.adopted:
 			add("adopt %d", i)
@@ -118,19 +132,19 @@
 			add("fail %d", i)
 		}
 	}
-	if w.crashes < 1 {
-		for i := range w.voters {
+	if m.crashes < 1 {
+		for i := range m.voters {
 			add("crash %d", i)
 		}
 	}
-	for i, v := range w.voters {
-		for from, other := range w.voters {
-			if _, speaks := other.Snapshot(w.now); speaks && i != from && v.NeedsSnapshots(w.now) && !v.mergedFrom[fmt.Sprint(from)] {
-				add("copy %d %d", i, from)
+	for i, v := range m.voters {
+		for sender, other := range m.voters {
+			if _, available := other.Snapshot(m.now); available && i != sender && v.NeedsSnapshots(m.now) && !v.mergedFrom[fmt.Sprint(sender)] {
+				add("copy %d %d", i, sender)
 			}
 		}
 	}
-	if w.waits < 3 {
+	if m.waits < 3 {
 		add("wait 1")
 		add("wait 2")
 		add("wait 8")
@@ -138,82 +152,83 @@
 	return out
 }
 
-func (w *model) propose(i int, place idempotency.Place) {
-	r := w.requests[i]
+func (m *model) propose(i int, place idempotency.Place) {
+	r := m.requests[i]
 	r.place = place
-	a := Proposal{Attempt: AttemptID{uint64(10*w.script[i].process + w.incarnations[w.script[i].process]), uint64(i)}, Round: uint32(len(r.proposals)),
-		Key: idempotency.KeyIDOf("", w.script[i].key), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
-	r.proposer = NewProposer(w.now, a, 3)
-	r.proposals = append(r.proposals, a)
+	proposal := Proposal{Attempt: AttemptID{uint64(10*m.script[i].process + m.incarnations[m.script[i].process]), uint64(i)}, Round: uint32(len(r.proposals)),
+		Key: idempotency.KeyIDOf("", m.script[i].key), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
+	r.proposer = NewProposer(m.now, proposal, 3)
+	r.proposals = append(r.proposals, proposal)
 }
 
-func (w *model) apply(move string) {
-	var what string
-	var n, v, k int
-	fmt.Sscan(move, &what, &n, &v, &k)
+func (m *model) apply(event string) {
+	var kind string
+	var n, v, index int
+	fmt.Sscan(event, &kind, &n, &v, &index)
 	var r *requestRun
-	if what != "crash" && what != "wait" && what != "copy" {
-		r = w.requests[n]
+	if kind != "crash" && kind != "wait" && kind != "copy" {
+		r = m.requests[n]
 	}
-	switch what {
+	switch kind {
 	case "ask":
-		w.requests[n] = &requestRun{}
-		w.propose(n, w.script[n].place)
+		m.requests[n] = &requestRun{}
+		m.propose(n, m.script[n].place)
 	case "vote":
-		r.delivered[v][k]++
-		if a, ok := w.voters[v].Vote(w.now, r.proposals[k]); ok && !slices.Contains(r.responses[v], a) {
-			r.responses[v] = append(r.responses[v], a)
+		r.delivered[v][index]++
+		if response, ok := m.voters[v].Vote(m.now, r.proposals[index]); ok && !slices.Contains(r.responses[v], response) {
+			r.responses[v] = append(r.responses[v], response)
 		}
 	case "hear":
-		r.proposer.Receive(v, r.responses[v][k])
+		r.proposer.Receive(v, r.responses[v][index])
 	case "end":
-		w.voters[v].Release(w.now, *r.release, ttl)
+		m.voters[v].Release(m.now, *r.release, ttl)
 	case "start":
 		r.started = true
-		w.startedAttempts = append(w.startedAttempts, startedAttempt{w.script[n].key, r.place, w.now})
+		m.startedAttempts = append(m.startedAttempts, startedAttempt{m.script[n].key, r.place, m.now})
 	case "adopt":
-		_, past := r.proposer.State()
+		_, keyState := r.proposer.State()
 		r.adopted = true
-		w.propose(n, past.Place)
+		m.propose(n, keyState.Place)
 	case "fail", "ended":
 		r.done = true
-		r.release = &Release{r.proposer.Proposal().Attempt, what == "fail"}
+		r.release = &Release{r.proposer.Proposal().Attempt, kind == "fail"}
 	case "crash":
-		w.crashes++
-		w.incarnations[n]++
-		silent := abstainFor
-		if w.skipAbstention {
-			silent = 0
+		m.crashes++
+		m.incarnations[n]++
+		abstention := abstainFor
+		if m.skipAbstention {
+			abstention = 0
 		}
-		w.voters[n] = NewVoter(w.now, VoterOptions{MaxKeys: 16, AbstainFor: silent, MaxProposalTTL: ttl})
-		for i, r := range w.requests {
-			if r != nil && w.script[i].process == n {
+		m.voters[n] = NewVoter(m.now, VoterOptions{MaxKeys: 16, AbstainFor: abstention, MaxProposalTTL: ttl})
+		for i, r := range m.requests {
+			if r != nil && m.script[i].process == n {
 				r.done = true
 			}
 		}
 	case "copy":
-		all, _ := w.voters[v].Snapshot(w.now)
-		w.voters[n].MergeSnapshot(w.now, all)
-		w.voters[n].SnapshotCompleted(w.now, fmt.Sprint(v), 3)
+		keys, _ := m.voters[v].Snapshot(m.now)
+		m.voters[n].MergeSnapshot(m.now, keys)
+		m.voters[n].SnapshotCompleted(m.now, fmt.Sprint(v), 3)
 	case "wait":
-		w.waits++
-		w.now = w.now.Add(time.Duration(n) * time.Second)
+		m.waits++
+		m.now = m.now.Add(time.Duration(n) * time.Second)
 	}
 }
 
-// violation tells where a key has gone to two groups, or again when its window was over, while it was to be known.
-func (w *model) violation() string {
-	could := slices.Clone(w.startedAttempts) // and each attempt that could go out now
-	for i, r := range w.requests {
+// violation describes two attempts with one key that went to two groups, or of which the second was sent after the window,
+// while the key still had to be remembered. It returns an empty string if there are none.
+func (m *model) violation() string {
+	attempts := slices.Clone(m.startedAttempts) // with each attempt that could be sent now
+	for i, r := range m.requests {
 		if r == nil || r.done || r.started {
 			continue
 		}
-		if state, past := r.proposer.State(); state == Claimed && r.proposer.IsValid(w.now) && w.now.Before(past.RetryUntil) {
-			could = append(could, startedAttempt{w.script[i].key, r.place, w.now})
+		if state, keyState := r.proposer.State(); state == Claimed && r.proposer.IsValid(m.now) && m.now.Before(keyState.RetryUntil) {
+			attempts = append(attempts, startedAttempt{m.script[i].key, r.place, m.now})
 		}
 	}
-	for i, a := range could {
-		for _, b := range could[i+1:] {
+	for i, a := range attempts {
+		for _, b := range attempts[i+1:] {
 			if a.key != b.key || !b.at.Before(a.at.Add(window+retention)) {
 				continue
 			}
@@ -225,74 +240,75 @@
 	return ""
 }
 
-// encodeState writes all that decides what can come, with times from now on.
-func (w *model) encodeState() string {
+// encodeState encodes everything that determines which events can follow, with times relative to now.
+func (m *model) encodeState() string {
 	var b strings.Builder
-	at := func(t time.Time) int { return max(int(t.Sub(w.now)/(time.Second/8)), -80) }
-	for i, v := range w.voters {
-		fmt.Fprint(&b, "|", i, w.incarnations[i], max(at(v.abstainUntil), 0), max(at(v.snapshotsUsefulFrom), 0), len(v.mergedFrom))
+	relative := func(t time.Time) int { return max(int(t.Sub(m.now)/(time.Second/8)), -80) }
+	for i, v := range m.voters {
+		fmt.Fprint(&b, "|", i, m.incarnations[i], max(relative(v.abstainUntil), 0), max(relative(v.snapshotsUsefulFrom), 0), len(v.mergedFrom))
 		var lines []string
-		for _, h := range v.grants {
-			lines = append(lines, fmt.Sprint(h.attempt, h.round, h.place.Zone, h.ended))
+		for _, g := range v.grants {
+			lines = append(lines, fmt.Sprint(g.attempt, g.round, g.place.Zone, g.ended))
 		}
-		v.table.Each(w.now, func(k idempotency.Record) bool {
-			lines = append(lines, fmt.Sprintf("%x %v %d %d %t %d %d", k.ID[:2], k.KeyState.Place.Zone, at(k.KeyState.RetryUntil), at(k.ExpiresAt), k.SeveralZones, k.Requests, k.InFlight))
+		v.table.Each(m.now, func(k idempotency.Record) bool {
+			lines = append(lines, fmt.Sprintf("%x %v %d %d %t %d %d", k.ID[:2], k.KeyState.Place.Zone, relative(k.KeyState.RetryUntil), relative(k.ExpiresAt), k.SeveralZones, k.Requests, k.InFlight))
 			return true
 		})
 		slices.Sort(lines)
 		fmt.Fprint(&b, lines)
 		if next, ok := v.expiry.Next(); ok {
-			fmt.Fprint(&b, at(next))
+			fmt.Fprint(&b, relative(next))
 		}
 	}
-	for _, r := range w.requests {
+	for _, r := range m.requests {
 		if r == nil {
 			b.WriteString("|-")
 			continue
 		}
-		state, past := r.proposer.State()
-		fmt.Fprint(&b, "|", len(r.proposals), r.place.Zone, r.done, r.started, r.adopted, r.release, state, at(past.RetryUntil), at(r.proposer.madeAt), r.proposer.responded)
-		for v := range w.voters {
+		state, keyState := r.proposer.State()
+		fmt.Fprint(&b, "|", len(r.proposals), r.place.Zone, r.done, r.started, r.adopted, r.release, state, relative(keyState.RetryUntil), relative(r.proposer.madeAt), r.proposer.responded)
+		for v := range m.voters {
 			fmt.Fprint(&b, r.proposer.responses[v].Vote, r.proposer.responses[v].Place.Zone, len(r.responses[v]), r.delivered[v])
-			for _, a := range r.responses[v] {
-				fmt.Fprint(&b, a.Round, a.Vote, a.Place.Zone, a.Remaining)
+			for _, response := range r.responses[v] {
+				fmt.Fprint(&b, response.Round, response.Vote, response.Place.Zone, response.Remaining)
 			}
 		}
 	}
-	fmt.Fprint(&b, w.crashes, w.waits)
-	for _, s := range w.startedAttempts {
-		fmt.Fprint(&b, s.key, s.place.Zone, at(s.at))
+	fmt.Fprint(&b, m.crashes, m.waits)
+	for _, s := range m.startedAttempts {
+		fmt.Fprint(&b, s.key, s.place.Zone, relative(s.at))
 	}
 	return b.String()
 }
 
-// explore tries every order of moves up to a depth, from a beginning. It returns the shortest one that breaks the promise.
-func explore(script []scriptedRequest, beginning []string, depth int, careless bool) (states int, trace []string, broken string) {
-	play := func(moves []string) *model {
-		w := newModel(script)
-		w.skipAbstention = careless
-		for _, m := range moves {
-			w.apply(m)
+// explore applies every sequence of events up to a depth after a prefix. It returns the number of different states, and the
+// shortest sequence that ends in a violation with a description of it.
+func explore(script []scriptedRequest, prefix []string, depth int, skipAbstention bool) (states int, trace []string, violation string) {
+	replay := func(events []string) *model {
+		m := newModel(script)
+		m.skipAbstention = skipAbstention
+		for _, event := range events {
+			m.apply(event)
 		}
-		return w
+		return m
 	}
 	seen := map[[16]byte]bool{}
-	level := [][]string{beginning}
+	level := [][]string{prefix}
 	for d := 0; d <= depth; d++ {
 		var next [][]string
-		for _, moves := range level {
-			w := play(moves)
-			if why := w.violation(); why != "" {
-				return len(seen), moves, why
+		for _, events := range level {
+			m := replay(events)
+			if violation := m.violation(); violation != "" {
+				return len(seen), events, violation
 			}
-			sum := sha256.Sum256([]byte(w.encodeState()))
-			s := [16]byte(sum[:16])
-			if seen[s] {
+			sum := sha256.Sum256([]byte(m.encodeState()))
+			key := [16]byte(sum[:16])
+			if seen[key] {
 				continue
 			}
-			seen[s] = true
-			for _, m := range w.possibleEvents() {
-				next = append(next, append(slices.Clip(slices.Clone(moves)), m))
+			seen[key] = true
+			for _, event := range m.possibleEvents() {
+				next = append(next, append(slices.Clip(slices.Clone(events)), event))
 			}
 		}
 		level = next
@@ -305,103 +321,105 @@
 	twoKeyScript = []scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "b", south}}
 )
 
-// Beginnings of the search: what has been done, and how much deeper than the others it is gone into.
+// searchPrefixes are the sequences of events that the search begins with. extraDepth is added to the depth of the search.
 var searchPrefixes = []struct {
-	name   string
-	script []scriptedRequest
-	done   []string
-	deeper int
+	name       string
+	script     []scriptedRequest
+	events     []string
+	extraDepth int
 }{
-	{"nothing has been asked", twoKeyScript, nil, 1},
-	{"a vote each, the third is free", oneKeyScript, []string{"ask 0", "ask 1", "vote 0 0 0", "vote 1 2 0", "hear 0 0 0", "hear 1 2 0"}, 1},
-	{"north has its majority", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1"}, 1},
-	{"north has started", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "start 0", "ask 1"}, 1},
-	{"a voter of the majority has died", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1", "start 0",
+	{"no proposal was made", twoKeyScript, nil, 1},
+	{"one vote for each place and one outstanding", oneKeyScript, []string{"ask 0", "ask 1", "vote 0 0 0", "vote 1 2 0", "hear 0 0 0", "hear 1 2 0"}, 1},
+	{"majority granted north", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1"}, 1},
+	{"attempt was sent to north", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "start 0", "ask 1"}, 1},
+	{"voter of the majority restarted", oneKeyScript, []string{"ask 0", "vote 0 0 0", "vote 0 1 0", "hear 0 0 0", "hear 0 1 0", "ask 1", "start 0",
 		"vote 1 2 0", "hear 1 2 0", "crash 1", "wait 2"}, 2},
 	{"two keys", twoKeyScript, []string{"ask 0", "vote 0 0 0", "ask 2", "vote 2 1 0", "vote 2 2 0", "ask 1"}, 0},
 }
 
-// Every order of events up to a depth, from several beginnings: no key is ever in two groups.
+// Every order of events up to a depth, after several prefixes: the attempts with one key never go to two groups.
 func TestExhaustiveSearchFindsNoViolation(t *testing.T) {
-	for _, b := range searchPrefixes {
-		t.Run(b.name, func(t *testing.T) {
+	for _, prefix := range searchPrefixes {
+		t.Run(prefix.name, func(t *testing.T) {
 			t.Parallel()
-			states, trace, broken := explore(b.script, b.done, *searchDepth+b.deeper, false)
-			if broken != "" {
-				t.Errorf("%s:\n%s", broken, strings.Join(trace, "\n"))
+			states, trace, violation := explore(prefix.script, prefix.events, *searchDepth+prefix.extraDepth, false)
+			if violation != "" {
+				t.Errorf("%s:\n%s", violation, strings.Join(trace, "\n"))
 			}
 			t.Logf("%d states", states)
 		})
 	}
 }
 
-// The search finds the fault that the voters' silence guards against: a voter that has lost its memory and agrees anew.
+// The search finds the fault that abstention prevents: a voter that lost its grants in a restart grants the key to another
+// group.
 func TestSearchFindsVoteAfterRestartWithoutAbstention(t *testing.T) {
-	states, trace, broken := explore(oneKeyScript, append(slices.Clone(searchPrefixes[2].done), "crash 1"), 4, true)
-	if broken == "" {
-		t.Errorf("not found in %d states", states)
+	states, trace, violation := explore(oneKeyScript, append(slices.Clone(searchPrefixes[2].events), "crash 1"), 4, true)
+	if violation == "" {
+		t.Errorf("no violation found in %d states", states)
 	}
-	t.Logf("%s after %d states:\n%s", broken, states, strings.Join(trace, "\n"))
+	t.Logf("%s after %d states:\n%s", violation, states, strings.Join(trace, "\n"))
 }
 
-// Long walks, drawn at random, through the same model.
+// Long random sequences of events never send the attempts with one key to two groups.
 func TestRandomEventSequencesCauseNoViolation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newModel([]scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "a", south}, {1, "b", north}, {2, "b", south}})
+		m := newModel([]scriptedRequest{{0, "a", north}, {1, "a", south}, {2, "a", south}, {1, "b", north}, {2, "b", south}})
 		var trace []string
 		for range 80 {
-			move := rapid.SampledFrom(w.possibleEvents()).Draw(t, "move")
-			trace = append(trace, move)
-			w.apply(move)
-			if why := w.violation(); why != "" {
-				t.Fatalf("%s:\n%s", why, strings.Join(trace, "\n"))
+			event := rapid.SampledFrom(m.possibleEvents()).Draw(t, "move")
+			trace = append(trace, event)
+			m.apply(event)
+			if violation := m.violation(); violation != "" {
+				t.Fatalf("%s:\n%s", violation, strings.Join(trace, "\n"))
 			}
 		}
 	})
 }
 
-// What a voter may forget and must not: a try that moved to another place, an end that overtook its ask, a list of voters
-// that follows another.
+// A proposal of a later round replaces the earlier place of its request. Proposals of earlier rounds, and those that arrive
+// after the release, get no response. A released key is free if no attempt ran, and a voter at its limit of keys abstains.
+// The list of voters may change by one voter at a time.
 func TestVoterGrantsRoundsReleasesAndCapacity(t *testing.T) {
-	ask := func(number uint64, turn uint32, place idempotency.Place) Proposal {
-		return Proposal{Attempt: AttemptID{1, number}, Round: turn, Key: idempotency.KeyIDOf("", "a"), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
+	proposal := func(number uint64, round uint32, place idempotency.Place) Proposal {
+		return Proposal{Attempt: AttemptID{1, number}, Round: round, Key: idempotency.KeyIDOf("", "a"), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
 	}
 	v := NewVoter(startTime, VoterOptions{MaxKeys: 4, MaxProposalTTL: ttl})
-	vote := func(a Proposal) Vote {
+	vote := func(p Proposal) Vote {
 		t.Helper()
-		out, _ := v.Vote(startTime, a)
-		return out.Vote
+		response, _ := v.Vote(startTime, p)
+		return response.Vote
 	}
-	if vote(ask(1, 0, north)) != Grant || vote(ask(2, 0, south)) != HeldElsewhere || vote(ask(1, 1, south)) != Grant || vote(ask(2, 0, south)) != Grant {
-		t.Error("a try that moves takes its place with it")
+	if vote(proposal(1, 0, north)) != Grant || vote(proposal(2, 0, south)) != HeldElsewhere || vote(proposal(1, 1, south)) != Grant || vote(proposal(2, 0, south)) != Grant {
+		t.Error("a proposal of a later round does not replace the earlier place of its request")
 	}
-	if _, ok := v.Vote(startTime, ask(1, 0, north)); ok {
-		t.Error("an ask of an earlier turn was answered")
+	if _, ok := v.Vote(startTime, proposal(1, 0, north)); ok {
+		t.Error("a proposal of an earlier round got a response")
 	}
 	v.Release(startTime, Release{AttemptID{1, 3}, true}, ttl)
-	if _, ok := v.Vote(startTime, ask(3, 0, south)); ok {
-		t.Error("an ask that its end has overtaken was answered")
+	if _, ok := v.Vote(startTime, proposal(3, 0, south)); ok {
+		t.Error("a proposal that arrived after its release got a response")
 	}
 	v.Release(startTime, Release{AttemptID{1, 1}, true}, ttl)
-	if vote(ask(4, 0, north)) != HeldElsewhere {
-		t.Error("free though another try is there")
+	if vote(proposal(4, 0, north)) != HeldElsewhere {
+		t.Error("key granted in north while another request holds it in south")
 	}
 	v.Release(startTime, Release{AttemptID{1, 2}, true}, ttl)
-	if vote(ask(4, 0, north)) != Grant {
-		t.Error("held though nothing ran")
+	if vote(proposal(4, 0, north)) != Grant {
+		t.Error("key held elsewhere although no attempt ran")
 	}
-	if vote(ask(4, 0, south)) == Grant {
-		t.Error("two places under one turn")
+	if vote(proposal(4, 0, south)) == Grant {
+		t.Error("two places granted in one round")
 	}
 	for i := range uint64(4) {
-		a := ask(10+i, 0, north)
-		a.Key = idempotency.KeyIDOf("", fmt.Sprint(i))
-		if got, want := vote(a), []Vote{Grant, Grant, Grant, Abstain}[i]; got != want {
-			t.Errorf("key %d: %d", i, got)
+		p := proposal(10+i, 0, north)
+		p.Key = idempotency.KeyIDOf("", fmt.Sprint(i))
+		if got, want := vote(p), []Vote{Grant, Grant, Grant, Abstain}[i]; got != want {
+			t.Errorf("key %d: got vote %d, want a grant up to MaxKeys and then an abstention", i, got)
 		}
 	}
 	if CanReconfigure([]string{"a", "b", "c"}, []string{"a", "b", "d"}) || !CanReconfigure([]string{"a", "b", "c"}, []string{"a", "b", "c", "d"}) ||
 		!CanReconfigure([]string{"a", "b", "c", "d"}, []string{"b", "c", "d"}) || !CanReconfigure(nil, []string{"a"}) {
-		t.Error("lists of voters")
+		t.Error("CanReconfigure does not allow exactly the changes by one voter")
 	}
 }
--- a/internal/fleet/ownership/proposer.go
+++ b/internal/fleet/ownership/proposer.go
@@ -12,9 +12,9 @@
 // The states. All but Pending are final.
 const (
 	Pending        State = iota
-	Claimed              // a majority has granted the proposal: attempts may go to its place
-	OwnedElsewhere       // no majority can grant it, as another group owns the key or its window is over
-	Unknown              // no majority can tell
+	Claimed              // a majority has granted the proposal: attempts may be sent to its place
+	OwnedElsewhere       // no majority can grant it, because another group owns the key or the key's window is over
+	Unknown              // no majority can grant it, and no voter has reported an owner of the key
 )
 
 func (s State) String() string { return [...]string{"pending", "bound", "elsewhere", "unknown"}[s] }
@@ -27,7 +27,7 @@
 	responded []bool
 }
 
-// NewProposer returns a proposer for a number of voters and a proposal that is made now.
+// NewProposer returns a proposer for a proposal that is created at now, and for a number of voters.
 func NewProposer(now time.Time, p Proposal, voters int) *Proposer {
 	return &Proposer{proposal: p, madeAt: now, responses: make([]Response, voters), responded: make([]bool, voters)}
 }
@@ -38,8 +38,8 @@
 // IsAwaiting reports whether a voter has not responded.
 func (p *Proposer) IsAwaiting(voter int) bool { return !p.responded[voter] }
 
-// Receive records a voter's response. A response to another proposal, or a second one, is ignored. A voter that has abstained
-// may vote later.
+// Receive records a voter's response. Responses to other proposals and repeated responses are ignored, but a voter that has
+// abstained may vote later.
 func (p *Proposer) Receive(voter int, r Response) {
 	if voter < 0 || voter >= len(p.responded) {
 		return
@@ -53,17 +53,17 @@
 	p.responded[voter], p.responses[voter] = true, r
 }
 
-// State returns the progress of the proposal. With Claimed and OwnedElsewhere it also returns the state of the key: the group that
-// owns it, and until when attempts may be decided on, by the earliest response that counts. All times are counted from the
-// making of the proposal, before which no voter can have responded.
+// State returns the progress of the proposal. With Claimed and OwnedElsewhere it also returns the state of the key: the group
+// that owns it, and the time until which attempts may be decided on. That time is the earliest one among the responses with
+// the deciding vote. It is counted from the creation of the proposal, because no voter can have responded earlier.
 func (p *Proposer) State() (State, idempotency.KeyState) {
-	granted, refused, open := 0, 0, 0
+	granted, refused, outstanding := 0, 0, 0
 	var claimed, owned idempotency.KeyState
 	for i, r := range p.responses {
 		until := p.madeAt.Add(r.Remaining)
 		switch {
 		case !p.responded[i]:
-			open++
+			outstanding++
 		case r.Vote == Grant:
 			granted++
 			if !claimed.Known || until.Before(claimed.RetryUntil) {
@@ -80,7 +80,7 @@
 	switch {
 	case granted >= majority:
 		return Claimed, claimed
-	case granted+open >= majority:
+	case granted+outstanding >= majority:
 		return Pending, idempotency.KeyState{}
 	case refused > 0:
 		return OwnedElsewhere, owned
--- a/internal/fleet/ownership/responses.go
+++ b/internal/fleet/ownership/responses.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// unresponsiveAfter is how long a voter may owe a response before it counts as unresponsive: several proposals are lost by
-// then.
+// unresponsiveAfter is how long a response may be outstanding before the voter counts as unresponsive. By then several
+// proposals must have been lost.
 const unresponsiveAfter = time.Second
 
-// ResponseTracker remembers which voters have responded lately, so that a proposal which cannot win a majority is not waited
-// for as long as one that can. It never prevents a proposal: a voter that is back is noticed at the next one. It is not safe
-// for concurrent use.
+// ResponseTracker records which voters have responded recently, so that a proposal that cannot win a majority gets a shorter
+// timeout than one that can. It never prevents a proposal from being sent: a voter that has recovered is noticed at the next
+// proposal. It is not safe for concurrent use.
 type ResponseTracker struct {
-	pendingSince map[string]time.Time // since when a voter owes a response
+	pendingSince map[string]time.Time // when the first proposal without a response was sent, by voter
 }
 
 // ProposalSent records that a proposal was sent to a voter.
@@ -26,8 +26,8 @@
 // ResponseReceived records that a voter has responded.
 func (t *ResponseTracker) ResponseReceived(voter string) { delete(t.pendingSince, voter) }
 
-// Timeout returns how long a proposal to these voters is worth waiting for: the full time where a majority of them may
-// respond, else the short one.
+// Timeout returns how long to wait for the responses of these voters: the full timeout if a majority of them may respond,
+// otherwise the short one.
 func (t *ResponseTracker) Timeout(now time.Time, voters []string, full, short time.Duration) time.Duration {
 	responsive := 0
 	for _, voter := range voters {
@@ -42,7 +42,7 @@
 	return full
 }
 
-// Retain forgets all voters but these.
+// Retain forgets all voters except the given ones.
 func (t *ResponseTracker) Retain(voters map[string]bool) {
 	for voter := range t.pendingSince {
 		if !voters[voter] {
--- a/internal/fleet/ownership/responses_test.go
+++ b/internal/fleet/ownership/responses_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// A majority that owes answers for long makes asks short, the first of them to answer makes them long again, and voters
-// that are asked all the time owe since the first ask.
+// The timeout is short while a majority of the voters is unresponsive, and full again after the first response. The time
+// without a response counts from the first unanswered proposal, even if more proposals follow.
 func TestTimeoutIsShortWhileMajorityIsUnresponsive(t *testing.T) {
-	const whole, short = 500 * time.Millisecond, 80 * time.Millisecond
-	var h ResponseTracker
+	const full, short = 500 * time.Millisecond, 80 * time.Millisecond
+	var tracker ResponseTracker
 	voters := []string{"a", "b", "c"}
-	wait := func(at, want time.Duration) {
+	expectTimeout := func(at, want time.Duration) {
 		t.Helper()
-		if got := h.Timeout(startTime.Add(at), voters, whole, short); got != want {
-			t.Errorf("after %v: %v", at, got)
+		if got := tracker.Timeout(startTime.Add(at), voters, full, short); got != want {
+			t.Errorf("timeout after %v is %v, which is not the expected one", at, got)
 		}
 	}
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Millisecond {
-		h.ProposalSent(startTime.Add(at), "a")
-		h.ProposalSent(startTime.Add(at), "b")
+		tracker.ProposalSent(startTime.Add(at), "a")
+		tracker.ProposalSent(startTime.Add(at), "b")
 		if at < unresponsiveAfter {
-			wait(at, whole)
+			expectTimeout(at, full)
 		} else {
-			wait(at, short)
+			expectTimeout(at, short)
 		}
 	}
-	h.ResponseReceived("b")
-	wait(3*time.Second, whole)
-	h.ProposalSent(startTime.Add(3*time.Second), "b")
-	wait(3500*time.Millisecond, whole)
-	wait(4*time.Second, short)
-	voters = []string{"a", "c", "d"} // one that owes is no voter any more
-	wait(4*time.Second, whole)
-	if h.Retain(map[string]bool{"a": true}); len(h.pendingSince) != 1 {
-		t.Errorf("kept: %v", h.pendingSince)
+	tracker.ResponseReceived("b")
+	expectTimeout(3*time.Second, full)
+	tracker.ProposalSent(startTime.Add(3*time.Second), "b")
+	expectTimeout(3500*time.Millisecond, full)
+	expectTimeout(4*time.Second, short)
+	voters = []string{"a", "c", "d"} // one of the unresponsive voters was replaced
+	expectTimeout(4*time.Second, full)
+	if tracker.Retain(map[string]bool{"a": true}); len(tracker.pendingSince) != 1 {
+		t.Errorf("Retain kept the voters %v, want only a", tracker.pendingSince)
 	}
 }
--- a/internal/fleet/ownership/snapshot.go
+++ b/internal/fleet/ownership/snapshot.go
@@ -6,7 +6,8 @@
 	"silvertrail/internal/balancer/idempotency"
 )
 
-// Snapshot returns all that the voter knows, for another one that was restarted; ok is false while it abstains itself.
+// Snapshot returns all keys that the voter knows, for another voter that was restarted. ok is false while this voter itself
+// abstains.
 func (v *Voter) Snapshot(now time.Time) (keys []KeyState, ok bool) {
 	if now.Before(v.abstainUntil) {
 		return nil, false
@@ -28,9 +29,9 @@
 	return keys, true
 }
 
-// NeedsSnapshots reports whether snapshots of other voters are useful. They are once no attempt can be sent any more under
-// what this voter granted in an earlier incarnation: those that were sent are then known to all others of the majorities
-// that had granted them.
+// NeedsSnapshots reports whether snapshots of other voters are useful. They are useful while this voter abstains, once no
+// attempt can be sent any more under a grant of its earlier incarnation. The attempts that were sent are then known to all
+// other voters of the majorities that granted them.
 func (v *Voter) NeedsSnapshots(now time.Time) bool {
 	return now.Before(v.abstainUntil) && !now.Before(v.snapshotsUsefulFrom)
 }
@@ -48,8 +49,8 @@
 	}
 }
 
-// SnapshotCompleted records that the whole snapshot of another voter has been merged. The voter votes again once it has merged
-// enough of them to cover every majority that it can have been part of.
+// SnapshotCompleted records that the whole snapshot of another voter has been merged. The voter votes again once every
+// majority that it can have been part of contains another voter whose snapshot it has merged.
 func (v *Voter) SnapshotCompleted(now time.Time, from string, voters int) {
 	v.mergedFrom[from] = true
 	if len(v.mergedFrom) >= voters-Majority(voters)+1 && v.NeedsSnapshots(now) {
--- a/internal/fleet/ownership/voter.go
+++ b/internal/fleet/ownership/voter.go
@@ -1,16 +1,17 @@
 // Package ownership lets several processes agree on the group of endpoints that owns an idempotency key, so that no retry
 // through another process goes to another group.
 //
-// The package does no I/O and reads no clock: messages are values that a host carries, late, twice, out of order, or never. A
-// Voter and a Proposer each belong to one host, which serialises all calls.
+// The package does no I/O and reads no clock. Messages are values that the host delivers: late, twice, out of order, or never.
+// A Voter and a Proposer each belong to one host, which serialises all calls.
 //
-// The processes that the configuration names as voters each remember the places that they have granted for a key. Before
-// the first byte of an attempt is sent, a process proposes its place to all voters, and goes on when a majority grants it.
-// Two majorities share a voter, and a voter grants no second group while an attempt of the first one may run or be
-// remembered. Nobody has to know which voters are alive: where no majority responds in time, nothing is sent.
+// The configuration names the processes that are voters. Each voter remembers the places that it has granted for a key.
+// Before a process sends the first byte of an attempt, it proposes the attempt's place to all voters, and it continues only
+// if a majority grants the place. Any two majorities share a voter, and a voter grants no second group while an attempt in
+// the first group may run or is remembered. No process has to know which voters are alive: if no majority responds in time,
+// nothing is sent.
 //
-// What a voter has granted is lost when it ends. A restarted voter abstains until all that it may have granted before has
-// expired, or until it has learnt it again from the other voters (see Snapshot).
+// A voter loses its grants when its process ends. A restarted voter abstains until everything that it may have granted before
+// has expired, or until it has recovered those keys from the other voters (see Snapshot).
 package ownership
 
 import (
@@ -21,11 +22,12 @@
 	"silvertrail/lbpolicy"
 )
 
-// Majority returns how many of n voters must agree.
+// Majority returns how many of n voters have to agree.
 func Majority(n int) int { return n/2 + 1 }
 
-// CanReconfigure reports whether one list of voters may directly follow another one: any majority of the one must share a
-// voter with any majority of the other. Adding one voter is allowed, and removing one; replacing one takes two steps.
+// CanReconfigure reports whether the list of voters may change from old to next in one step: every majority of old must share
+// a voter with every majority of next. Adding or removing one voter is allowed, but replacing one takes two steps. Any change
+// from or to an empty list is allowed.
 func CanReconfigure(old, next []string) bool {
 	all := map[string]bool{}
 	for _, name := range old {
@@ -37,21 +39,21 @@
 	return len(old) == 0 || len(next) == 0 || Majority(len(old))+Majority(len(next)) > len(all)
 }
 
-// grantsPerKey bounds the grants of a voter by the number of keys that it remembers.
+// grantsPerKey limits the grants that a voter holds, as a multiple of the number of keys that it may remember.
 const grantsPerKey = 2
 
-// Voter remembers what it has granted. It is not safe for concurrent use.
+// Voter votes on proposals and remembers its grants. It is not safe for concurrent use.
 type Voter struct {
 	table               *idempotency.Table
 	maxKeys             int
 	grants              map[AttemptID]*grant
 	expiry              timerqueue.Queue[*grant]
 	abstainUntil        time.Time
-	snapshotsUsefulFrom time.Time // snapshots count from then on
-	mergedFrom          map[string]bool
+	snapshotsUsefulFrom time.Time       // all grants of earlier incarnations have expired by then
+	mergedFrom          map[string]bool // voters whose whole snapshot has been merged
 }
 
-// grant is an attempt that was granted, or one that is known to have ended.
+// grant records a proposal that was granted, or a request that is known to have ended.
 type grant struct {
 	attempt AttemptID
 	round   uint32
@@ -63,14 +65,14 @@
 
 // VoterOptions configure a voter.
 type VoterOptions struct {
-	MaxKeys int // that are remembered
-	// AbstainFor is how long the voter abstains: as long as anything is remembered of an attempt that it may have granted
-	// before it was started. Zero: nothing was.
+	MaxKeys int // maximum number of keys that are remembered
+	// AbstainFor is how long the voter abstains after its start: as long as an attempt that it may have granted in an earlier
+	// incarnation has to be remembered. It is zero if there was no earlier incarnation.
 	AbstainFor     time.Duration
-	MaxProposalTTL time.Duration
+	MaxProposalTTL time.Duration // upper limit of Proposal.TTL
 }
 
-// NewVoter returns a voter that starts now.
+// NewVoter returns a voter that starts at now.
 func NewVoter(now time.Time, o VoterOptions) *Voter {
 	return &Voter{
 		table:               idempotency.New(o.MaxKeys),
@@ -82,7 +84,7 @@
 	}
 }
 
-// Vote responds to a proposal; ok is false for an outdated one, which gets no response.
+// Vote returns the response to a proposal. ok is false for an outdated proposal, which gets no response.
 func (v *Voter) Vote(now time.Time, p Proposal) (response Response, ok bool) {
 	v.expire(now)
 	current := v.grants[p.Attempt]
@@ -95,13 +97,14 @@
 	if known.Known {
 		response.Remaining = known.RetryUntil.Sub(now)
 	}
-	if now.Before(v.abstainUntil) && response.Vote == Grant { // the grant is recorded all the same: others may agree
+	if now.Before(v.abstainUntil) && response.Vote == Grant { // the grant is still recorded: other voters may agree
 		response.Vote = Abstain
 	}
 	return response, true
 }
 
-// priorKeyState returns what the voter knows of the key. The attempts of a granted proposal itself are left to its proposer.
+// priorKeyState returns what the voter knows of the key. For a granted proposal it leaves out the attempts of that proposal, which
+// its proposer knows.
 func (v *Voter) priorKeyState(now time.Time, p Proposal, vote Vote) idempotency.KeyState {
 	if vote == Grant {
 		return v.grants[p.Attempt].sent.OtherAttempts()
@@ -109,16 +112,16 @@
 	return v.table.KeyState(now, p.Key, p.Scope)
 }
 
-// decide votes on a proposal, and records a grant.
+// decide returns the vote on a proposal, and records the grant if there is one.
 func (v *Voter) decide(now time.Time, p Proposal, current *grant) Vote {
 	if current != nil && current.round == p.Round {
 		if current.place == p.Place {
-			return Grant // the proposal came twice, or the response was lost
+			return Grant // the proposal was repeated, or its response was lost
 		}
-		return Abstain // two processes that continue one attempt have taken the same round: neither may rely on it
+		return Abstain // two processes that continue one request use the same round: neither may rely on it
 	}
 	if current != nil {
-		current.sent.End(now, true) // the proposer has ended its attempts there: they never ran
+		current.sent.End(now, true) // the proposer has given up its earlier place, where no attempt ran
 		v.remove(current)
 	}
 	if len(v.grants) >= grantsPerKey*v.maxKeys {
@@ -127,7 +130,7 @@
 	return v.grant(now, p)
 }
 
-// grant records a grant where the history of the key allows one.
+// grant grants a proposal and records the grant, if the earlier attempts with the key allow it.
 func (v *Voter) grant(now time.Time, p Proposal) Vote {
 	request, err := v.table.Begin(now, p.Key, idempotency.Fingerprint{})
 	if err != nil {
@@ -148,7 +151,7 @@
 	v.expiry.Push(expires, g)
 }
 
-// Release ends an attempt. That it has ended is remembered until no proposal of it can arrive any more.
+// Release ends a request. The end is remembered until no proposal of the request can arrive any more.
 func (v *Voter) Release(now time.Time, r Release, maxProposalTTL time.Duration) {
 	v.expire(now)
 	current := v.grants[r.Attempt]
@@ -175,7 +178,8 @@
 	}
 }
 
-// expire ends the grants whose time is over: no attempt starts under them any more, and nobody has said whether one has run.
+// expire ends the grants whose TTL has passed. No attempt starts under them any more. If a grant was not released, its attempts
+// may have run.
 func (v *Voter) expire(now time.Time) {
 	for {
 		g, ok := v.expiry.Pop(now)
@@ -189,7 +193,7 @@
 	}
 }
 
-// AbstainsUntil returns until when the voter abstains.
+// AbstainsUntil returns the time until which the voter abstains.
 func (v *Voter) AbstainsUntil() time.Time { return v.abstainUntil }
 
 // KeyState returns what the voter knows of a key.
--- a/internal/fleet/partition/partition.go
+++ b/internal/fleet/partition/partition.go
@@ -1,10 +1,11 @@
-// Package partition divides the limits of a fleet among its instances: it determines how many instances share them, and which
-// of them this one is. It does no I/O and reads no clock. A Tracker belongs to one host, which serialises all calls.
+// Package partition divides the limits of a fleet among its instances. It determines how many instances share the limits, and
+// the index of this instance among them. It does no I/O and reads no clock. A Tracker belongs to one host, which serialises
+// all calls.
 //
-// In doubt the number is higher: what an instance uses must not grow while another one may still use its part too. An
-// instance that joins counts at once, and one that announces its departure is dropped at once. One that is lost counts for
-// some time, and after that for as long as this instance does not reach most of those that count: it may itself be the one
-// that was cut off.
+// In doubt the number of instances is too high rather than too low: the part of one instance must not grow while another
+// instance may still use its own part. An instance that joins counts immediately. An instance that announces its departure is
+// dropped immediately. A lost instance counts for the hold time. It continues to count while this instance does not reach a
+// majority of the instances that count, because this instance may itself be the isolated one.
 package partition
 
 import (
@@ -12,19 +13,19 @@
 	"time"
 )
 
-// State is what is known of an instance.
+// State is the last known state of an instance.
 type State uint8
 
 // The states.
 const (
 	Alive State = iota
-	Dead        // lost without an announcement
-	Left
+	Dead        // lost without announcing its departure
+	Left        // has announced its departure
 )
 
 func (s State) String() string { return [...]string{"alive", "dead", "left"}[s] }
 
-// Tracker tracks the instances of a fleet. It is not safe for concurrent use.
+// Tracker tracks the instances of a fleet that share its limits. It is not safe for concurrent use.
 type Tracker struct {
 	self       string
 	hold       time.Duration
@@ -38,13 +39,13 @@
 	lostAt time.Time
 }
 
-// New returns a Tracker of an instance that is alone. A lost instance counts for at least hold. At most maxMembers instances are
-// remembered.
+// New returns a Tracker for the instance self, which knows of no other instance. A lost instance counts for at least hold. At
+// most maxMembers instances are remembered.
 func New(self string, hold time.Duration, maxMembers int) *Tracker {
 	return &Tracker{self: self, hold: hold, maxMembers: maxMembers, members: map[string]*member{self: {}}}
 }
 
-// Update sets what is known of an instance now.
+// Update sets the state of an instance at now.
 func (t *Tracker) Update(now time.Time, name string, s State) {
 	if name == t.self {
 		return
@@ -60,8 +61,8 @@
 	}
 }
 
-// Partition returns how many instances count now, and the index of this one among them, from 0. It can change at next by time
-// alone; zero means that it cannot.
+// Partition returns how many instances count at now, and the index of this instance among them, from 0. Without another update
+// the result may change at next, or not at all if next is zero.
 func (t *Tracker) Partition(now time.Time) (instances, index int, next time.Time) {
 	if t.reachesMajority() {
 		next = t.expire(now)
@@ -85,7 +86,7 @@
 	return 2*alive > len(t.members)
 }
 
-// expire drops the lost instances whose hold is over, and returns when the next one is.
+// expire drops the lost instances whose hold time has passed, and returns when the next hold time ends; zero if none does.
 func (t *Tracker) expire(now time.Time) (next time.Time) {
 	for name, m := range t.members {
 		if m.state == Alive {
--- a/internal/fleet/partition/partition_test.go
+++ b/internal/fleet/partition/partition_test.go
@@ -10,37 +10,39 @@
 
 var startTime = time.Unix(1_800_000_000, 0)
 
+// A lost instance counts until its hold time has passed, and longer while most instances are lost. One that has left is dropped
+// immediately.
 func TestLostInstanceCountsUntilHoldExpires(t *testing.T) {
-	tr := New("b", 10*time.Second, 10)
+	tracker := New("b", 10*time.Second, 10)
 	for _, name := range []string{"a", "c", "d", "e"} {
-		tr.Update(startTime, name, Alive)
+		tracker.Update(startTime, name, Alive)
 	}
-	want := func(at time.Duration, n, place int) {
+	expectPartition := func(at time.Duration, instances, index int) {
 		t.Helper()
-		if gotN, gotPlace, _ := tr.Partition(startTime.Add(at)); gotN != n || gotPlace != place {
-			t.Errorf("after %v: %d of %d, want %d of %d", at, gotPlace, gotN, place, n)
+		if gotInstances, gotIndex, _ := tracker.Partition(startTime.Add(at)); gotInstances != instances || gotIndex != index {
+			t.Errorf("after %v: index %d of %d instances, want %d of %d", at, gotIndex, gotInstances, index, instances)
 		}
 	}
-	want(0, 5, 1)
-	tr.Update(startTime, "a", Left)
-	want(0, 4, 0)
-	tr.Update(startTime, "c", Dead)
-	want(9*time.Second, 4, 0)
-	if _, _, next := tr.Partition(startTime); !next.Equal(startTime.Add(10 * time.Second)) {
-		t.Errorf("next %v", next)
+	expectPartition(0, 5, 1)
+	tracker.Update(startTime, "a", Left)
+	expectPartition(0, 4, 0)
+	tracker.Update(startTime, "c", Dead)
+	expectPartition(9*time.Second, 4, 0)
+	if _, _, next := tracker.Partition(startTime); !next.Equal(startTime.Add(10 * time.Second)) {
+		t.Errorf("result may change at %v, want 10 s after the loss", next)
 	}
-	want(10*time.Second, 3, 0)
-	tr.Update(startTime.Add(11*time.Second), "d", Dead)
-	tr.Update(startTime.Add(11*time.Second), "e", Dead)
-	want(time.Hour, 3, 0) // cut off, perhaps: the others may still be there
-	tr.Update(startTime.Add(time.Hour), "e", Alive)
-	want(time.Hour, 2, 0)           // most are there, and one has been lost for long
-	tr.Update(startTime, "b", Dead) // what others say of this one
-	want(time.Hour, 2, 0)
+	expectPartition(10*time.Second, 3, 0)
+	tracker.Update(startTime.Add(11*time.Second), "d", Dead)
+	tracker.Update(startTime.Add(11*time.Second), "e", Dead)
+	expectPartition(time.Hour, 3, 0) // this instance may be isolated: the others may still be running
+	tracker.Update(startTime.Add(time.Hour), "e", Alive)
+	expectPartition(time.Hour, 2, 0)     // a majority is alive again, and d has been lost for longer than the hold time
+	tracker.Update(startTime, "b", Dead) // reports about this instance itself are ignored
+	expectPartition(time.Hour, 2, 0)
 }
 
-// A fleet is cut into sides, again and again, and heals: no instance counts fewer than it sees, and when all see all again
-// each has a place of its own.
+// The network is partitioned repeatedly and then heals. No instance counts fewer instances than it reaches. Once all instances
+// reach each other, each has an index of its own.
 func TestCountIncludesReachableInstancesDuringPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "instances")
@@ -55,35 +57,35 @@
 			for i := range side {
 				side[i] = rapid.Bool().Draw(t, "side")
 			}
-			for i, tr := range trackers {
+			for i, tracker := range trackers {
 				for j := range trackers {
-					s := Dead
+					state := Dead
 					if side[i] == side[j] {
-						s = Alive
+						state = Alive
 					}
-					tr.Update(now, name(j), s)
+					tracker.Update(now, name(j), state)
 				}
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
-			for i, tr := range trackers {
-				count, place, _ := tr.Partition(now)
-				same := 0
+			for i, tracker := range trackers {
+				count, index, _ := tracker.Partition(now)
+				reachable := 0
 				for j := range side {
 					if side[j] == side[i] {
-						same++
+						reachable++
 					}
 				}
-				if count < same || place < 0 || place >= count {
-					t.Fatalf("instance %d: place %d of %d, and sees %d", i, place, count, same)
+				if count < reachable || index < 0 || index >= count {
+					t.Fatalf("instance %d has index %d of %d instances, and reaches %d", i, index, count, reachable)
 				}
 			}
 		}
-		for i, tr := range trackers { // all see all: the parts are those of the whole, and no place is taken twice
+		for i, tracker := range trackers { // all instances reach each other: the parts add up to the limit, and no index is used twice
 			for j := range trackers {
-				tr.Update(now, name(j), Alive)
+				tracker.Update(now, name(j), Alive)
 			}
-			if count, place, _ := tr.Partition(now); count != n || place != i {
-				t.Fatalf("instance %d: place %d of %d", i, place, count)
+			if count, index, _ := tracker.Partition(now); count != n || index != i {
+				t.Fatalf("instance %d has index %d of %d instances", i, index, count)
 			}
 		}
 	})
--- a/internal/fleet/version/order.go
+++ b/internal/fleet/version/order.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Order is how one entry compares with another one of the same kind and name.
+// Order is the order of one entry relative to another one of the same kind and name.
 type Order uint8
 
 // The orders.
 const (
-	Unknown Order = iota // neither is known to have replaced the other
+	Unknown Order = iota // neither entry is known to have replaced the other
 	Same
 	Older
 	Newer
@@ -26,7 +26,7 @@
 	return o
 }
 
-// Compare returns how a compares with b.
+// Compare returns the order of a relative to b: Older if b has replaced a.
 func Compare(a, b Entry) Order {
 	switch {
 	case a.Kind != b.Kind || a.Name != b.Name:
@@ -43,17 +43,17 @@
 	return compareNumbered(a, b)
 }
 
-// compareNumbered compares two entries of which a has the lower number.
+// compareNumbered compares two numbered entries. The number of a must be lower.
 func compareNumbered(a, b Entry) Order {
-	for _, p := range b.Ancestors {
+	for _, ancestor := range b.Ancestors {
 		switch {
-		case p.Hash == a.Hash:
+		case ancestor.Hash == a.Hash:
 			return Older
-		case p.Number == a.Number:
-			return Forked // b replaced another version of that number
+		case ancestor.Number == a.Number:
+			return Forked // b replaced another version with the number of a
 		}
 	}
-	// Where both know what came before a, it has to be the same.
+	// Ancestors of both entries that have the same number must be the same version.
 	for _, p := range b.Ancestors {
 		for _, q := range a.Ancestors {
 			if p.Number == q.Number && p.Number > 0 && p.Hash != q.Hash {
@@ -64,8 +64,8 @@
 	return Older
 }
 
-// compareAncestry compares two entries without numbers, by which one has replaced the other. If each has replaced the other,
-// the order is unknown.
+// compareAncestry compares two entries by their ancestors alone, because at least one of them has no number. If each entry has
+// replaced the other, the order is unknown.
 func compareAncestry(a, b Entry) Order {
 	aIsOlder, bIsOlder := b.hasAncestor(a.Hash), a.hasAncestor(b.Hash)
 	switch {
@@ -77,7 +77,7 @@
 	return Unknown
 }
 
-// VersionsBehind returns how many versions a is behind b, which is newer. It is at least 1.
+// VersionsBehind returns by how many versions a is older than b, which must be newer. The result is at least 1.
 func VersionsBehind(a, b Entry) int {
 	if a.Number > 0 && b.Number > a.Number {
 		return int(b.Number - a.Number)
--- a/internal/fleet/version/vector.go
+++ b/internal/fleet/version/vector.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Vector is all that an instance applies: one entry for each kind and name, in that order.
+// Vector holds the versions that an instance applies: one entry for each kind and name, sorted by kind and name.
 type Vector []Entry
 
 // ByKindAndName compares two entries by kind and name, which is the order of a vector.
@@ -59,10 +59,10 @@
 	return Hash(sum.Sum(nil)[:len(Hash{})])
 }
 
-// Check returns an error for a vector that no instance sends.
+// Check returns an error for a vector that no correct instance sends.
 func (v Vector) Check() error {
 	if len(v) > MaxEntries {
-		return fmt.Errorf("version: a vector of %d entries, over %d", len(v), MaxEntries)
+		return fmt.Errorf("version: vector has %d entries, more than the maximum of %d", len(v), MaxEntries)
 	}
 	for i, e := range v {
 		switch {
--- a/internal/fleet/version/version.go
+++ b/internal/fleet/version/version.go
@@ -1,9 +1,9 @@
-// Package version identifies the versions of what an instance applies, and determines which of two is newer. It does no I/O and
-// reads no clock.
+// Package version identifies the versions that an instance applies, for example of its configuration and its endpoint lists. It
+// determines which of two versions is newer. It does no I/O and reads no clock.
 //
-// An Entry is the version of one thing: a hash of its content, a number where the fleet assigns one, and the versions that
-// it replaced. Two entries are ordered by these alone. No time of day is used, and where neither entry holds the other one
-// as an ancestor, the order stays unknown.
+// An Entry identifies one version by a hash of the content, a number if the fleet assigns one, and the versions that it
+// replaced, which are its ancestors. Entries are ordered by these alone, without the time of day. If two entries without
+// numbers are not ancestors of each other, their order is unknown.
 package version
 
 import (
@@ -14,18 +14,18 @@
 	"slices"
 )
 
-// Kind is what an entry is the version of. The numbers are part of the protocol: none is reused for another kind, and unknown
-// ones are passed on.
+// Kind says what an entry is a version of. The numbers are part of the protocol: no number is reused for another kind, and
+// entries of unknown kinds are passed on.
 type Kind uint8
 
 // The kinds.
 const (
-	Build         Kind = iota + 1 // of the program
-	Local                         // the part of the configuration that each instance has for itself
-	Configuration                 // the part that all instances share: numbered by the fleet
+	Build         Kind = iota + 1 // of the program that the instance runs
+	Local                         // the part of the configuration that is specific to each instance
+	Configuration                 // the part of the configuration that all instances share: numbered by the fleet
 	Voters
-	Keyring  // which keys, never the keys themselves
-	View     // of the members: numbered by membership
+	Keyring  // identifies the keys, without the keys themselves
+	View     // of the members of the fleet: numbered by membership
 	List     // the endpoints of a cluster, as merged from its sources
 	Resource // an xDS resource
 	Rejected // a configuration file that was rejected, until one is accepted
@@ -43,19 +43,20 @@
 // IsShared reports whether all instances of a fleet are meant to have the same version.
 func (k Kind) IsShared() bool { return k != Local && k != Build && k != Rejected }
 
-// IsUrgent reports whether a change is announced at once. Lists change at all members together, and often.
+// IsUrgent reports whether a change is announced immediately. Endpoint lists and xDS resources are not urgent, because they
+// change often, and at all members at the same time.
 func (k Kind) IsUrgent() bool { return k != List && k != Resource }
 
 // IsTransient reports whether an entry may disappear without being replaced.
 func (k Kind) IsTransient() bool { return k == List || k == Resource || k == Rejected }
 
-// Hash identifies a content: it is the first half of a SHA-256.
+// Hash identifies content by the first half of its SHA-256 hash.
 type Hash [16]byte
 
-// shortHashBytes is how many bytes of a hash are shown to people.
+// shortHashBytes is how many bytes of a hash String shows.
 const shortHashBytes = 4
 
-// HashOf returns the hash of a content.
+// HashOf returns the hash of the content.
 func HashOf(content []byte) Hash {
 	sum := sha256.Sum256(content)
 	return Hash(sum[:len(Hash{})])
@@ -63,14 +64,14 @@
 
 func (h Hash) String() string { return hex.EncodeToString(h[:shortHashBytes]) }
 
-// MarshalText implements encoding.TextMarshaler: all of the hash in hexadecimal digits.
+// MarshalText implements encoding.TextMarshaler. It writes the whole hash in hexadecimal digits.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(h[:])), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (h *Hash) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != len(h) {
-		return errors.New("version: not a hash")
+		return errors.New("version: text is not a hash in 32 hexadecimal digits")
 	}
 	copy(h[:], decoded)
 	return nil
@@ -83,24 +84,25 @@
 }
 
 const (
-	// MaxAncestors is how many replaced versions an entry holds.
+	// MaxAncestors limits the replaced versions that an entry holds.
 	MaxAncestors = 16
-	// MaxEntries bounds a vector.
+	// MaxEntries limits the entries of a vector.
 	MaxEntries   = 4096
 	maxNameBytes = 256
 )
 
-// Entry is the version of one thing. It is encoded as an array in the order of its fields, which must not change.
+// Entry identifies one version of the content with a kind and name. It is encoded as an array in the order of its fields, which
+// must not change.
 type Entry struct {
 	Kind        Kind       `json:"kind"`
-	Name        string     `json:"name,omitempty"` // of a list: its cluster; of a resource: its type and name
+	Name        string     `json:"name,omitempty"` // of an endpoint list: its cluster; of an xDS resource: its type and name
 	Hash        Hash       `json:"hash"`
 	Number      uint64     `json:"number,omitempty"` // assigned by the fleet, or by membership; 0: none
 	Ancestors   []Ancestor `json:"before,omitempty"` // the newest first
 	Description string     `json:"text,omitempty"`   // for operators
 }
 
-// asAncestor returns the entry as the one that replaces it holds it.
+// asAncestor returns the entry in the form in which its successor records it.
 func (e Entry) asAncestor() Ancestor { return Ancestor{Number: e.Number, Hash: e.Hash} }
 
 // replacedBy returns the entry that replaces e, without a number.
@@ -114,13 +116,13 @@
 	return next
 }
 
-// hasAncestor reports whether the entry replaced a version, as far as it is remembered.
+// hasAncestor reports whether a version is among the ancestors that the entry holds.
 func (e Entry) hasAncestor(h Hash) bool {
 	return slices.ContainsFunc(e.Ancestors, func(a Ancestor) bool { return a.Hash == h })
 }
 
-// Successor returns the entry that follows e where the fleet assigns no numbers. The same content keeps the entry, with a new
-// description.
+// Successor returns the entry that replaces e, for kinds to which the fleet assigns no numbers. If the content is the same, it
+// returns e with the new description.
 func (e Entry) Successor(h Hash, description string) Entry {
 	if e.Hash == h {
 		e.Description = description
@@ -129,8 +131,9 @@
 	return e.replacedBy(h, description)
 }
 
-// AssignNumber returns the entry of a content with its number in the fleet: the number that it has already, in force or
-// replaced, or the one after the newest. Known are the entries of all members, this one's among them if it has one.
+// AssignNumber returns the entry of the content with its number in the fleet. Content that has a number already, as a current or
+// a replaced version, keeps that number. Other content gets the number after the newest one. known holds the entries of all
+// members, including the entry of this member if it has one.
 func AssignNumber(kind Kind, name string, h Hash, description string, known []Entry) Entry {
 	var newest Entry
 	for _, e := range known {
@@ -146,7 +149,7 @@
 				return Entry{Kind: kind, Name: name, Hash: h, Number: a.Number, Ancestors: slices.Clone(e.Ancestors[i+1:]), Description: description}
 			}
 		}
-		// Of two with one number the smaller hash wins, so that all members which know both continue from the same one.
+		// Of two entries with one number the smaller hash wins, so that all members that know both continue from the same entry.
 		if e.Number > newest.Number || e.Number == newest.Number && slices.Compare(e.Hash[:], newest.Hash[:]) < 0 {
 			newest = e
 		}
--- a/internal/fleet/version/version_test.go
+++ b/internal/fleet/version/version_test.go
@@ -10,118 +10,119 @@
 
 func hashOfText(s string) Hash { return HashOf([]byte(s)) }
 
-// A thing that goes on in one line, at members that take it up later or pass over some of it: who is older is told, and never
-// a fork.
+// The versions follow each other without forks. Members adopt them late or skip some of them. Compare always finds which of two
+// members has the older version, and never a fork.
 func TestLinearHistoryIsOrderedWithoutForks(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		numbered := rapid.Bool().Draw(r, "numbered")
 		n := rapid.IntRange(2, 5).Draw(r, "members")
-		has, at := make([]Entry, n), make([]int, n)
+		entries, versions := make([]Entry, n), make([]int, n)
 		newest := 0
-		for i := range has {
-			has[i] = AssignNumber(Configuration, "", hashOfText("v0"), "", has[:i])
+		for i := range entries {
+			entries[i] = AssignNumber(Configuration, "", hashOfText("v0"), "", entries[:i])
 			if !numbered {
-				has[i] = Entry{Kind: List, Name: "c", Hash: hashOfText("v0")}
+				entries[i] = Entry{Kind: List, Name: "c", Hash: hashOfText("v0")}
 			}
 		}
 		for range rapid.IntRange(1, 12).Draw(r, "steps") {
-			i := rapid.IntRange(0, n-1).Draw(r, "who")
+			member := rapid.IntRange(0, n-1).Draw(r, "who")
 			to := newest
-			if at[i] == newest && newest < MaxAncestors-1 { // only who has the newest makes the next one
+			if versions[member] == newest && newest < MaxAncestors-1 { // only a member with the newest version creates the next one
 				newest++
 				to = newest
 			}
-			h := hashOfText(fmt.Sprint("v", to))
+			hash := hashOfText(fmt.Sprint("v", to))
 			if numbered {
-				has[i] = AssignNumber(Configuration, "", h, "", has)
+				entries[member] = AssignNumber(Configuration, "", hash, "", entries)
 			} else {
-				for next := at[i] + 1; next <= to; next++ { // a source tells a member of all, in order
-					has[i] = has[i].Successor(hashOfText(fmt.Sprint("v", next)), "")
+				for next := versions[member] + 1; next <= to; next++ { // without numbers, a member receives all versions in order
+					entries[member] = entries[member].Successor(hashOfText(fmt.Sprint("v", next)), "")
 				}
 			}
-			at[i] = to
+			versions[member] = to
 		}
-		for i := range has {
-			for j := range has {
+		for i := range entries {
+			for j := range entries {
 				want := Same
 				switch {
-				case at[i] < at[j]:
+				case versions[i] < versions[j]:
 					want = Older
-				case at[i] > at[j]:
+				case versions[i] > versions[j]:
 					want = Newer
 				}
-				if is := Compare(has[i], has[j]); is != want {
-					r.Fatalf("v%d to v%d: %v, want %v (%+v, %+v)", at[i], at[j], is, want, has[i], has[j])
+				if got := Compare(entries[i], entries[j]); got != want {
+					r.Fatalf("Compare of v%d to v%d is %v, want %v (%+v, %+v)", versions[i], versions[j], got, want, entries[i], entries[j])
 				}
-				if want == Older && numbered && VersionsBehind(has[i], has[j]) != at[j]-at[i] {
-					r.Fatalf("v%d is %d behind v%d", at[i], VersionsBehind(has[i], has[j]), at[j])
+				if want == Older && numbered && VersionsBehind(entries[i], entries[j]) != versions[j]-versions[i] {
+					r.Fatalf("v%d is %d versions behind v%d", versions[i], VersionsBehind(entries[i], entries[j]), versions[j])
 				}
 			}
 		}
 	})
 }
 
-// Two that go on from one version apart from each other have forked, and so has what follows either; one that knows both
-// and goes on from there has not.
+// Two versions that replaced the same version independently are forked, and so are their successors. A version that is created
+// with both sides known continues from one of them, and remains forked from the other.
 func TestConcurrentSuccessorsAreForked(t *testing.T) {
 	first := AssignNumber(Configuration, "", hashOfText("a"), "", nil)
 	left := AssignNumber(Configuration, "", hashOfText("left"), "", []Entry{first})
 	right := AssignNumber(Configuration, "", hashOfText("right"), "", []Entry{first})
 	next := AssignNumber(Configuration, "", hashOfText("next"), "", []Entry{left})
 	late := AssignNumber(Configuration, "", hashOfText("late"), "", []Entry{next, right})
-	for _, x := range []struct {
+	for _, test := range []struct {
 		a, b Entry
 		want Order
 	}{
 		{first, left, Older}, {left, right, Forked}, {next, right, Forked}, {right, next, Forked}, {left, next, Older}, {next, late, Older}, {late, first, Newer},
-		{right, late, Forked}, // which settles nothing: it follows the other side
+		{right, late, Forked}, // late continues from the other side
 		{first, Entry{Kind: List, Hash: first.Hash}, Unknown},
 	} {
-		if is := Compare(x.a, x.b); is != x.want {
-			t.Errorf("%+v to %+v: %v, want %v", x.a, x.b, is, x.want)
+		if got := Compare(test.a, test.b); got != test.want {
+			t.Errorf("Compare of %+v to %+v is %v, want %v", test.a, test.b, got, test.want)
 		}
 	}
-	if back := AssignNumber(Configuration, "", hashOfText("a"), "", []Entry{next}); back.Number != first.Number || Compare(back, next) != Older {
-		t.Errorf("an old file is %+v", back)
+	if restored := AssignNumber(Configuration, "", hashOfText("a"), "", []Entry{next}); restored.Number != first.Number || Compare(restored, next) != Older {
+		t.Errorf("content of the first version has the entry %+v", restored)
 	}
 	one, other := Entry{Kind: List, Hash: hashOfText("x")}, Entry{Kind: List, Hash: hashOfText("y")}
-	if is := Compare(one, other); is != Unknown {
-		t.Errorf("without a past: %v", is)
+	if got := Compare(one, other); got != Unknown {
+		t.Errorf("Compare of entries without ancestors is %v", got)
 	}
 	if a, b := one.Successor(hashOfText("y"), ""), other.Successor(hashOfText("x"), ""); Compare(a, b) != Unknown {
-		t.Errorf("each has replaced the other: %v", Compare(a, b))
+		t.Errorf("Compare of entries that have replaced each other is %v", Compare(a, b))
 	}
 }
 
-// A vector is the same whatever order it was made in, is told from one that differs in anything, and is checked.
+// The digest of a vector does not depend on the order in which entries were added, and changes with any entry. Check rejects an
+// invalid entry, entries out of order, and duplicates.
 func TestVectorIgnoresInsertionOrderAndDetectsChanges(t *testing.T) {
 	entries := []Entry{{Kind: List, Name: "b", Hash: hashOfText("1")}, {Kind: List, Name: "a", Hash: hashOfText("2")}, {Kind: Build, Hash: hashOfText("3")},
 		{Kind: Configuration, Hash: hashOfText("4"), Number: 7}}
-	var v, w Vector
+	var vector, reversed Vector
 	for i := range entries {
-		v, w = v.With(entries[i]), w.With(entries[len(entries)-1-i])
+		vector, reversed = vector.With(entries[i]), reversed.With(entries[len(entries)-1-i])
 	}
-	if v.Digest() != w.Digest() || v.Check() != nil || len(v) != 4 {
-		t.Errorf("%+v, %+v", v, w)
+	if vector.Digest() != reversed.Digest() || vector.Check() != nil || len(vector) != 4 {
+		t.Errorf("vectors of the same entries differ or are invalid: %+v, %+v", vector, reversed)
 	}
-	seen := map[Hash]bool{v.Digest(): true}
+	seen := map[Hash]bool{vector.Digest(): true}
 	for _, e := range []Entry{{Kind: List, Name: "a", Hash: hashOfText("x")}, {Kind: Configuration, Hash: hashOfText("4"), Number: 8}, {Kind: List, Name: "c", Hash: hashOfText("2")},
 		{Kind: 99, Hash: hashOfText("of a later program")}} {
-		if d := v.With(e).Digest(); seen[d] {
-			t.Errorf("%+v changes nothing", e)
+		if digest := vector.With(e).Digest(); seen[digest] {
+			t.Errorf("digest does not change with %+v", e)
 		} else {
-			seen[d] = true
+			seen[digest] = true
 		}
 	}
-	if got := v.Without(List, "a"); len(got) != 3 || seen[got.Digest()] {
-		t.Errorf("%+v", got)
+	if got := vector.Without(List, "a"); len(got) != 3 || seen[got.Digest()] {
+		t.Errorf("vector without the endpoint list a is %+v", got)
 	}
-	if e, ok := v.Find(Configuration, ""); !ok || e.Number != 7 {
-		t.Errorf("found %+v", e)
+	if e, ok := vector.Find(Configuration, ""); !ok || e.Number != 7 {
+		t.Errorf("Find returned %+v for the configuration", e)
 	}
-	bad := slices.Clone(v)
-	bad[0], bad[1] = bad[1], bad[0]
-	if bad.Check() == nil || (Vector{{Kind: 0}}).Check() == nil || (Vector{v[0], v[0]}).Check() == nil {
-		t.Error("passed")
+	unsorted := slices.Clone(vector)
+	unsorted[0], unsorted[1] = unsorted[1], unsorted[0]
+	if unsorted.Check() == nil || (Vector{{Kind: 0}}).Check() == nil || (Vector{vector[0], vector[0]}).Check() == nil {
+		t.Error("invalid vector passed Check")
 	}
 }
--- a/internal/fleet/versionlag/evaluate.go
+++ b/internal/fleet/versionlag/evaluate.go
@@ -13,12 +13,12 @@
 	now      time.Duration
 	members  []Member
 	statuses []Status
-	// What the Detector remembers after the run.
+	// State that the Detector keeps for its next run.
 	findingSince map[findingKey]time.Duration
 	newestSince  map[newestKey]time.Duration
 }
 
-// holders initializes the statuses, and returns for each shared entry the members that have one, by index.
+// holders initializes the statuses, and returns for each shared entry the indexes of the members that have the entry.
 func (e *evaluation) holders() map[entryKey][]int {
 	holders := map[entryKey][]int{}
 	for i, m := range e.members {
@@ -56,7 +56,8 @@
 	}
 }
 
-// addFinding adds a finding with its duration. A member that is lagging for less than the rollout timeout is updating.
+// addFinding adds a finding with its duration. A member that is lagging or divergent for no longer than the rollout timeout is
+// updating.
 func (e *evaluation) addFinding(i int, key entryKey, finding Finding) {
 	member := e.members[i]
 	id := findingKey{member.Name, key, finding.Has.Hash, finding.Expected.Hash}
@@ -65,7 +66,7 @@
 		since = e.now
 	}
 	e.findingSince[id] = since
-	finding.Duration = max(e.now-member.Age-since, 0) // what it has applied since its report is not known
+	finding.Duration = max(e.now-member.Age-since, 0) // it is not known which versions the member has applied since its report
 	inTime := finding.Duration <= e.limits.RolloutTimeout
 	if inTime && (finding.State == Lagging || finding.State == Divergent) {
 		finding.State = Updating
@@ -73,8 +74,8 @@
 	e.statuses[i].Findings = append(e.statuses[i].Findings, finding)
 }
 
-// flagUnadoptedNewest replaces the findings for one entry where most members have not adopted the newest version within the
-// rollout timeout: those that have it are ahead.
+// flagUnadoptedNewest replaces the findings for one entry if at least half of the members have not adopted the newest version
+// within the rollout timeout. The members that have the newest version are then ahead, and the others do not lag.
 func (e *evaluation) flagUnadoptedNewest(key entryKey, newest version.Entry, holders []int, hashes []version.Hash) {
 	id := newestKey{key, newest.Hash}
 	since, known := e.Detector.newestSince[id]
@@ -104,7 +105,7 @@
 	}
 }
 
-// countStale returns how many members have reported another version after the rollout timeout.
+// countStale returns how many members reported a version other than the newest one after the rollout timeout.
 func (e *evaluation) countStale(newest version.Hash, since time.Duration, holders []int, hashes []version.Hash) int {
 	stale := 0
 	for j, i := range holders {
@@ -115,8 +116,8 @@
 	return stale
 }
 
-// versionSet is the set of versions of one entry that members apply. Of several entries with one hash, the one that knows
-// most ancestors stands for all.
+// versionSet is the set of versions of one entry that members apply, by hash. Of several entries with one hash, it prefers the
+// one with more ancestors or a higher number.
 type versionSet map[version.Hash]*versionCount
 
 // versionCount is a version with the number of members that apply it.
@@ -136,7 +137,7 @@
 	count.members++
 }
 
-// newest returns the versions that no other one is newer than: one, or several that are forked or unrelated.
+// newest returns the versions that no other version has replaced. There are several if they are forked or unrelated.
 func (s versionSet) newest() []*versionCount {
 	var newest []*versionCount
 	for _, v := range s {
@@ -148,7 +149,7 @@
 	return newest
 }
 
-// isReplaced reports whether a version of the set is newer than this one.
+// isReplaced reports whether the set has a version that is newer than e.
 func (s versionSet) isReplaced(e version.Entry) bool {
 	for _, other := range s {
 		if version.Compare(e, other.Entry) == version.Older {
@@ -158,14 +159,14 @@
 	return false
 }
 
-// classify compares one version with the newest ones. It finds nothing for a version that is current.
+// classify compares one version with the newest ones. found is false for a version that is current.
 func (s versionSet) classify(key entryKey, hash version.Hash, newest []*versionCount) (finding Finding, found bool) {
 	v := s[hash]
 	finding = Finding{Kind: key.kind, Name: key.name, Has: v.Entry}
 	if len(newest) == 1 && newest[0] == v {
 		return finding, false
 	}
-	members := 0 // of several unrelated versions, the one with most members is named
+	members := 0 // of several unrelated versions, the one that most members apply is expected
 	for _, other := range newest {
 		switch version.Compare(v.Entry, other.Entry) {
 		case version.Forked:
@@ -185,7 +186,7 @@
 		}
 	}
 	if finding.State == Divergent && v.members > members {
-		return finding, false // it is the others that diverge
+		return finding, false // more members apply this version, so the others are divergent
 	}
 	return finding, finding.State != Current
 }
--- a/internal/fleet/versionlag/versionlag.go
+++ b/internal/fleet/versionlag/versionlag.go
@@ -1,9 +1,10 @@
 // Package versionlag determines which members of a fleet apply versions that the others have replaced, and for how long. It
 // does no I/O and reads no clock. A Detector belongs to one host, which serialises all calls.
 //
-// It never decides by majority alone. Which version is the newest follows from the versions themselves. Where most members
-// have not adopted the newest one in time, it is the newest that is flagged, and nobody counts as lagging. Two versions that
-// replaced the same one are forked: neither is newer, whatever the number of members that apply it.
+// The package never decides by majority alone. Which version is the newest follows from the versions themselves. If at least
+// half of the members have not adopted the newest version in time, the members that have it are flagged as ahead, and no
+// member counts as lagging. Two versions that replaced the same version are forked: neither is newer, whatever the number of
+// members that apply it.
 package versionlag
 
 import (
@@ -15,18 +16,18 @@
 	"silvertrail/internal/fleet/version"
 )
 
-// State is the state of a member in one entry, or in all: then it is the worst one.
+// State is the state of a member for one entry, or its worst state for any entry.
 type State uint8
 
-// The states, the worst last.
+// The states, from the best to the worst.
 const (
 	Current      State = iota
-	Updating           // lagging, for no longer than a rollout may last
-	Ahead              // it has the newest version, which most have not adopted in time
-	Divergent          // it has another version, and nothing tells which one is newer
+	Updating           // lagging or divergent, for no longer than the rollout timeout
+	Ahead              // it has the newest version, which at least half of the members have not adopted in time
+	Divergent          // it has another version, and it is not known which version is newer
 	Lagging            // it has an older version
-	NotReporting       // it has reported no versions, or not lately
-	Forked             // it has a version that replaced the same one as another member's
+	NotReporting       // it has reported no versions, or its report is too old
+	Forked             // it has a version that replaced the same version as another member's did
 )
 
 var stateNames = [...]string{"in step", "taking up", "ahead", "differs", "behind", "silent", "forked"}
@@ -40,7 +41,7 @@
 func (s *State) UnmarshalText(text []byte) error {
 	i := slices.Index(stateNames[:], string(text))
 	if i < 0 {
-		return fmt.Errorf("versionlag: no state %q", text)
+		return fmt.Errorf("versionlag: unknown state %q", text)
 	}
 	*s = State(i)
 	return nil
@@ -52,15 +53,15 @@
 	MaxAge         time.Duration // of a member's report
 }
 
-// Member is what is known of a member of the view.
+// Member is the latest known report of a member of the view.
 type Member struct {
 	Name       string
-	Vector     version.Vector // nil: it has reported nothing
+	Vector     version.Vector // nil: the member has reported nothing
 	VectorHash version.Hash
 	Age        time.Duration // since the member confirmed the vector
 }
 
-// Finding is an entry in which a member is not current.
+// Finding describes an entry for which a member is not current.
 type Finding struct {
 	Kind           version.Kind  `json:"kind"`
 	Name           string        `json:"name,omitempty"`
@@ -75,7 +76,7 @@
 type Status struct {
 	Member     string         `json:"member"`
 	State      State          `json:"state"`
-	Age        time.Duration  `json:"age"` // of its report
+	Age        time.Duration  `json:"age"` // of the member's report
 	VectorHash version.Hash   `json:"digest"`
 	Vector     version.Vector `json:"vector,omitempty"`
 	Findings   []Finding      `json:"findings,omitempty"`
@@ -87,7 +88,7 @@
 	name string
 }
 
-// findingKey identifies a member that applies one version where another is expected.
+// findingKey identifies a finding: a member that applies one version of an entry where another version is expected.
 type findingKey struct {
 	member string
 	entryKey
@@ -100,14 +101,15 @@
 	hash version.Hash
 }
 
-// Detector remembers since when each member is in its state. It is not safe for concurrent use.
+// Detector evaluates the versions of all members, and remembers since when it has made each finding. It is not safe for
+// concurrent use.
 type Detector struct {
 	limits       Limits
 	findingSince map[findingKey]time.Duration
 	newestSince  map[newestKey]time.Duration
 }
 
-// New returns a Detector that has seen nothing.
+// New returns a Detector without any findings to remember.
 func New(limits Limits) *Detector {
 	return &Detector{limits: limits, findingSince: map[findingKey]time.Duration{}, newestSince: map[newestKey]time.Duration{}}
 }
--- a/internal/fleet/versionlag/versionlag_test.go
+++ b/internal/fleet/versionlag/versionlag_test.go
@@ -12,150 +12,152 @@
 
 var limits = Limits{RolloutTimeout: 5 * time.Second, MaxAge: 10 * time.Second}
 
-func configuration(number uint64, text string, before ...version.Ancestor) version.Entry {
-	return version.Entry{Kind: version.Configuration, Hash: version.HashOf([]byte(text)), Number: number, Ancestors: before}
+func configuration(number uint64, text string, ancestors ...version.Ancestor) version.Entry {
+	return version.Entry{Kind: version.Configuration, Hash: version.HashOf([]byte(text)), Number: number, Ancestors: ancestors}
 }
 
-func members(of ...version.Entry) (out []Member) {
-	for i, e := range of {
+// members returns one member for each entry, which is all that it applies.
+func members(entries ...version.Entry) (out []Member) {
+	for i, e := range entries {
 		out = append(out, Member{Name: fmt.Sprint("m", i), Vector: version.Vector{e}})
 	}
 	return out
 }
 
-func joinStates(s []Status) (out string) {
-	for i, m := range s {
+// joinStates returns the states of all members in one line.
+func joinStates(statuses []Status) (out string) {
+	for i, status := range statuses {
 		if i > 0 {
 			out += ", "
 		}
-		out += m.State.String()
+		out += status.State.String()
 	}
 	return out
 }
 
-// Each row is a fleet as it is seen twice: at once, and after the time that taking up may last.
+// Each row is a fleet that is evaluated twice: at once, and again after the rollout timeout.
 func TestEvaluateBeforeAndAfterRolloutTimeout(t *testing.T) {
 	a := configuration(1, "a")
 	b := configuration(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
 	x := configuration(2, "x", version.Ancestor{Number: 1, Hash: a.Hash})
 	c := configuration(3, "c", version.Ancestor{Number: 2, Hash: b.Hash}, version.Ancestor{Number: 1, Hash: a.Hash})
-	list := func(text string, before ...string) version.Entry {
+	list := func(text string, ancestors ...string) version.Entry {
 		e := version.Entry{Kind: version.List, Name: "c", Hash: version.HashOf([]byte(text))}
-		for _, b := range before {
-			e.Ancestors = append(e.Ancestors, version.Ancestor{Hash: version.HashOf([]byte(b))})
+		for _, ancestor := range ancestors {
+			e.Ancestors = append(e.Ancestors, version.Ancestor{Hash: version.HashOf([]byte(ancestor))})
 		}
 		return e
 	}
-	own := func(text string) version.Entry {
+	local := func(text string) version.Entry {
 		return version.Entry{Kind: version.Local, Hash: version.HashOf([]byte(text))}
 	}
 	for name, row := range map[string]struct {
 		members     []Member
 		first, then string
 	}{
-		"in step":             {members(b, b, b), "in step, in step, in step", "in step, in step, in step"},
-		"one behind":          {members(b, a, b), "in step, taking up, in step", "in step, behind, in step"},
-		"two behind by two":   {members(a, c, c, c, a), "taking up, in step, in step, in step, taking up", "behind, in step, in step, in step, behind"},
-		"most behind":         {members(a, a, b), "taking up, taking up, in step", "in step, in step, ahead"},
-		"fork":                {members(b, x, b), "forked, forked, forked", "forked, forked, forked"},
-		"fork and behind":     {members(b, x, a), "forked, forked, taking up", "forked, forked, behind"},
-		"one fork in three":   {members(c, c, x), "forked, forked, forked", "forked, forked, forked"},
-		"alone":               {members(a), "in step", "in step"},
-		"lists, one older":    {members(list("2", "1"), list("1"), list("2", "1")), "in step, taking up, in step", "in step, behind, in step"},
-		"lists of no past":    {members(list("2"), list("1"), list("2")), "in step, taking up, in step", "in step, differs, in step"},
-		"lists, half each":    {members(list("2"), list("1")), "taking up, taking up", "differs, differs"},
-		"what each has own":   {members(own("1"), own("2")), "in step, in step", "in step, in step"},
-		"silent":              {[]Member{{Name: "m0", Vector: version.Vector{a}}, {Name: "m1"}, {Name: "m2", Vector: version.Vector{a}, Age: time.Minute}}, "in step, silent, silent", "in step, silent, silent"},
-		"silent and forked":   {append(members(b), Member{Name: "m1", Vector: version.Vector{x}, Age: time.Minute}), "forked, forked", "forked, forked"},
-		"one has no such":     {append(members(b, b), Member{Name: "m2", Vector: version.Vector{own("1")}}), "in step, in step, in step", "in step, in step, in step"},
-		"kinds of the future": {members(version.Entry{Kind: 99, Hash: a.Hash}, version.Entry{Kind: 99, Hash: b.Hash}), "taking up, taking up", "differs, differs"},
+		"all current":                         {members(b, b, b), "in step, in step, in step", "in step, in step, in step"},
+		"one member lags":                     {members(b, a, b), "in step, taking up, in step", "in step, behind, in step"},
+		"two members lag by two versions":     {members(a, c, c, c, a), "taking up, in step, in step, in step, taking up", "behind, in step, in step, in step, behind"},
+		"most members lag":                    {members(a, a, b), "taking up, taking up, in step", "in step, in step, ahead"},
+		"fork":                                {members(b, x, b), "forked, forked, forked", "forked, forked, forked"},
+		"fork and lagging member":             {members(b, x, a), "forked, forked, taking up", "forked, forked, behind"},
+		"one member on an older fork":         {members(c, c, x), "forked, forked, forked", "forked, forked, forked"},
+		"single member":                       {members(a), "in step", "in step"},
+		"older endpoint list":                 {members(list("2", "1"), list("1"), list("2", "1")), "in step, taking up, in step", "in step, behind, in step"},
+		"endpoint lists without ancestors":    {members(list("2"), list("1"), list("2")), "in step, taking up, in step", "in step, differs, in step"},
+		"endpoint lists without majority":     {members(list("2"), list("1")), "taking up, taking up", "differs, differs"},
+		"different local configurations":      {members(local("1"), local("2")), "in step, in step", "in step, in step"},
+		"members without recent report":       {[]Member{{Name: "m0", Vector: version.Vector{a}}, {Name: "m1"}, {Name: "m2", Vector: version.Vector{a}, Age: time.Minute}}, "in step, silent, silent", "in step, silent, silent"},
+		"forked member without recent report": {append(members(b), Member{Name: "m1", Vector: version.Vector{x}, Age: time.Minute}), "forked, forked", "forked, forked"},
+		"member without the entry":            {append(members(b, b), Member{Name: "m2", Vector: version.Vector{local("1")}}), "in step, in step, in step", "in step, in step, in step"},
+		"unknown kind":                        {members(version.Entry{Kind: 99, Hash: a.Hash}, version.Entry{Kind: 99, Hash: b.Hash}), "taking up, taking up", "differs, differs"},
 	} {
-		w := New(limits)
-		if got := joinStates(w.Evaluate(time.Hour, row.members)); got != row.first {
-			t.Errorf("%s: at once %s, want %s", name, got, row.first)
+		detector := New(limits)
+		if got := joinStates(detector.Evaluate(time.Hour, row.members)); got != row.first {
+			t.Errorf("%s: states at once are %s, want %s", name, got, row.first)
 		}
-		if got := joinStates(w.Evaluate(time.Hour+6*time.Second, row.members)); got != row.then {
-			t.Errorf("%s: then %s, want %s", name, got, row.then)
+		if got := joinStates(detector.Evaluate(time.Hour+6*time.Second, row.members)); got != row.then {
+			t.Errorf("%s: states after the rollout timeout are %s, want %s", name, got, row.then)
 		}
 	}
 }
 
-// One that goes on, but never catches up, is behind the newest each time for no longer than it is the newest; and what is told
-// names what it has, what it should have, by how many versions, and for how long.
+// A finding names the version that a lagging member has, the expected version, by how many versions the member lags, and for how
+// long. The duration starts again with each new newest version.
 func TestLaggingFindingRestartsWithEachNewVersion(t *testing.T) {
 	a := configuration(1, "a")
 	c := configuration(3, "c", version.Ancestor{Number: 2, Hash: version.HashOf([]byte("b"))}, version.Ancestor{Number: 1, Hash: a.Hash})
-	w := New(limits)
-	w.Evaluate(0, members(a, c, c))
-	s := w.Evaluate(7*time.Second, members(a, c, c))
-	if len(s[0].Findings) != 1 {
-		t.Fatalf("%+v", s)
+	detector := New(limits)
+	detector.Evaluate(0, members(a, c, c))
+	statuses := detector.Evaluate(7*time.Second, members(a, c, c))
+	if len(statuses[0].Findings) != 1 {
+		t.Fatalf("statuses are %+v, want one finding for the first member", statuses)
 	}
-	if f := s[0].Findings[0]; f.State != Lagging || f.VersionsBehind != 2 || f.Duration != 7*time.Second || f.Expected.Hash != c.Hash || f.Has.Hash != a.Hash {
-		t.Errorf("%+v", f)
+	if f := statuses[0].Findings[0]; f.State != Lagging || f.VersionsBehind != 2 || f.Duration != 7*time.Second || f.Expected.Hash != c.Hash || f.Has.Hash != a.Hash {
+		t.Errorf("finding is %+v, want lagging by 2 versions for 7 s", f)
 	}
 	d := configuration(4, "d", append([]version.Ancestor{{Number: 3, Hash: c.Hash}}, c.Ancestors...)...)
-	if s = w.Evaluate(8*time.Second, members(a, d, d)); s[0].Findings[0].State != Updating || s[0].Findings[0].Duration != 0 {
-		t.Errorf("behind a version that has just come: %+v", s[0].Findings)
+	if statuses = detector.Evaluate(8*time.Second, members(a, d, d)); statuses[0].Findings[0].State != Updating || statuses[0].Findings[0].Duration != 0 {
+		t.Errorf("findings for a new newest version are %+v, want updating for 0 s", statuses[0].Findings)
 	}
-	if len(w.findingSince) > 1 || len(w.newestSince) > 1 {
-		t.Errorf("%d and %d are remembered", len(w.findingSince), len(w.newestSince))
+	if len(detector.findingSince) > 1 || len(detector.newestSince) > 1 {
+		t.Errorf("%d findings and %d newest versions are remembered, want at most one of each", len(detector.findingSince), len(detector.newestSince))
 	}
 }
 
-// What a member has done since its last word is not known: it is behind only once it has said so itself after the time that
-// taking up may last, and the newest is odd only once most have.
+// It is not known which versions a member has applied since its last report. The member lags only once a report made after the
+// rollout timeout says so, and the newest version is flagged only once most members have made such a report.
 func TestStaleReportIsNotLagging(t *testing.T) {
 	a := configuration(1, "a")
 	b := configuration(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
-	for _, has := range [][]version.Entry{{a, b, b}, {a, a, b}} {
-		w := New(limits)
-		w.Evaluate(0, members(has...))
-		for now := time.Second; now < 9*time.Second; now += time.Second { // heard at 0, and no more
-			old := members(has...)
-			for i := range old {
-				old[i].Age = now
+	for _, entries := range [][]version.Entry{{a, b, b}, {a, a, b}} {
+		detector := New(limits)
+		detector.Evaluate(0, members(entries...))
+		for now := time.Second; now < 9*time.Second; now += time.Second { // the last reports were made at 0
+			stale := members(entries...)
+			for i := range stale {
+				stale[i].Age = now
 			}
-			for _, m := range w.Evaluate(now, old) {
-				if m.State > Updating {
-					t.Errorf("%v after their last words: %+v", now, m)
+			for _, status := range detector.Evaluate(now, stale) {
+				if status.State > Updating {
+					t.Errorf("status %v after the last report is %+v, want current or updating", now, status)
 				}
 			}
 		}
 	}
 }
 
-// Whatever versions there are, never are most of those that are heard told to be behind, and a fork never makes one side
-// right: if any member is forked, so is one with another version.
+// Whatever versions the members have, a majority of them never lags. A fork flags both sides: if a member is forked, so is a
+// member with another version.
 func TestMajorityNeverLagsAndForkFlagsBothSides(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(r, "members")
 		known := []version.Entry{version.AssignNumber(version.Configuration, "", version.HashOf([]byte("0")), "", nil)}
 		for i := range rapid.IntRange(0, 6).Draw(r, "versions") {
-			from := rapid.SampledFrom(known).Draw(r, "after")
-			known = append(known, version.AssignNumber(version.Configuration, "", version.HashOf([]byte(fmt.Sprint(i+1))), "", []version.Entry{from}))
+			base := rapid.SampledFrom(known).Draw(r, "after")
+			known = append(known, version.AssignNumber(version.Configuration, "", version.HashOf([]byte(fmt.Sprint(i+1))), "", []version.Entry{base}))
 		}
-		var has []version.Entry
+		var entries []version.Entry
 		for range n {
-			has = append(has, rapid.SampledFrom(known).Draw(r, "has"))
+			entries = append(entries, rapid.SampledFrom(known).Draw(r, "has"))
 		}
-		w := New(limits)
-		w.Evaluate(0, members(has...))
-		s := w.Evaluate(time.Minute, members(has...))
-		behind, forked := 0, map[version.Hash]bool{}
-		for i, m := range s {
-			switch m.State {
+		detector := New(limits)
+		detector.Evaluate(0, members(entries...))
+		statuses := detector.Evaluate(time.Minute, members(entries...))
+		lagging, forked := 0, map[version.Hash]bool{}
+		for i, status := range statuses {
+			switch status.State {
 			case Lagging:
-				behind++
+				lagging++
 			case Forked:
-				forked[has[i].Hash] = true
+				forked[entries[i].Hash] = true
 			}
 		}
 		if len(forked) == 1 {
-			r.Errorf("one side of a fork is right: %s of %+v", joinStates(s), has)
+			r.Errorf("only one side of a fork is flagged: states are %s for %+v", joinStates(statuses), entries)
 		}
-		if len(forked) == 0 && 2*behind > n {
-			r.Errorf("most are behind: %s", joinStates(s))
+		if len(forked) == 0 && 2*lagging > n {
+			r.Errorf("most members are lagging: states are %s", joinStates(statuses))
 		}
 	})
 }
