--- a/internal/fleet/gossip/antientropy.go
+++ b/internal/fleet/gossip/antientropy.go
@@ -93,7 +93,7 @@
 }
 
 // handleDigest compares a digest with the state that is known here. It requests the state if the sender knows a newer one, and
-// adds an update to the response if the sender knows an older one.
+// adds an update to the response if the sender knows an older one. A digest of the same state confirms that state.
 func (c *Core) handleDigest(from string, d Digest, response *Message) {
 	if d.Name == c.self.Name {
 		c.supersedeEarlierProcess(d.Incarnation, d.Generation)
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,4 +1,5 @@
-// Package gossip replicates the versions that each member of a fleet applies to all other members.
+// Package gossip replicates to all members of a fleet the versions that each of them applies, and keeps the known state of every
+// member.
 //
 // The package does no I/O, reads no clock and starts no goroutines. Its host passes it the time, the members of the view and
 // the messages received, and sends what Ready returns. A Core belongs to one host, which serialises all calls.
@@ -31,9 +32,9 @@
 	maxDigests       = 32
 	maxRequests      = 32
 	maxUpdates       = 16
-	maxResponseBytes = 256 << 10 // of the updates in a response; the update that reaches the limit is still added
-	maxPushBytes     = 800       // of the updates that are pushed together: they fit in one packet
-	recentDigests    = 16        // of the peers with the most recent updates; the other peers take turns
+	maxResponseBytes = 256 << 10 // total size of the updates in a response; the update that reaches the limit is still added
+	maxPushBytes     = 800       // total size of the updates that are pushed together: they fit in one packet
+	recentDigests    = 16        // digests of the peers with the most recent updates; the other peers take turns
 	pushFanout       = 2         // members to which an announcement is pushed immediately
 	maxPeers         = 10000
 	maxGeneration    = 1 << 40
@@ -63,12 +64,12 @@
 	outgoing []Envelope
 
 	self        MemberState
-	pushesLeft  int    // of this member's own state
+	pushesLeft  int    // pushes left for this member's own state
 	previousSeq uint64 // sequence number of the state on which the pushed updates are based
 
-	members       []string // of the view, without this one
+	members       []string // members of the view, without this member
 	peers         map[string]*Peer
-	sortedNames   []string // of peers; nil: has to be sorted again
+	sortedNames   []string // names of the peers; nil: has to be rebuilt
 	digestCursor  int      // position in sortedNames
 	requestCursor int      // position in members of the search for unknown states
 	moreExpected  bool     // an update has arrived or was requested, so the next tick sends digests
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -84,13 +84,13 @@
 	for end := s.now + d; s.now < end; s.now += 10 * time.Millisecond {
 		sent := s.inFlight
 		s.inFlight = nil
-		for _, message := range sent {
-			if message.arrivesAt > s.now {
-				s.inFlight = append(s.inFlight, message)
+		for _, pending := range sent {
+			if pending.arrivesAt > s.now {
+				s.inFlight = append(s.inFlight, pending)
 				continue
 			}
-			s.cores[message.to].Receive(s.now, memberName(message.from), message.message)
-			s.sendReady(message.to)
+			s.cores[pending.to].Receive(s.now, memberName(pending.from), pending.message)
+			s.sendReady(pending.to)
 		}
 		for i, c := range s.cores {
 			if (s.now+time.Duration(i)*7*time.Millisecond)%TickInterval < 10*time.Millisecond {
@@ -167,16 +167,16 @@
 				s.cores[member].SetMembers(memberNames(n))
 				vectors[member] = nil
 				s.announce(member, vectors[member].With(entry(version.Build, "", 1)))
-			case 1:
+			case 1: // the messages that the member sends are blocked, or no longer blocked
 				for j := range n {
 					s.blocked[[2]int{member, j}] = !s.blocked[[2]int{member, j}]
 				}
-			case 2:
+			case 2: // an entry is deleted
 				if len(vectors[member]) > 0 {
 					vectors[member] = vectors[member].Without(vectors[member][0].Kind, vectors[member][0].Name)
 					s.announce(member, vectors[member])
 				}
-			default:
+			default: // entries are added or changed
 				kind := rapid.SampledFrom([]version.Kind{version.Configuration, version.List}).Draw(r, "kind")
 				for range rapid.SampledFrom([]int{1, 1, 3, 90}).Draw(r, "how many") {
 					vectors[member] = vectors[member].With(entry(kind, fmt.Sprint(s.rng.IntN(120)), s.rng.IntN(1000)))
@@ -258,7 +258,7 @@
 		}
 	}
 	if len(state.Tombstones) > maxTombstones || state.CompactedSeq == 0 {
-		t.Errorf("%d tombstones are kept, dropped up to sequence number %d", len(state.Tombstones), state.CompactedSeq)
+		t.Errorf("%d tombstones are kept and those up to sequence number %d dropped, want at most maxTombstones and some dropped", len(state.Tombstones), state.CompactedSeq)
 	}
 }
 
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -13,7 +13,7 @@
 	Name            string
 	Incarnation     uint64
 	Generation, Seq uint64
-	AgeMilliseconds uint32 // since the member itself last confirmed the state
+	AgeMilliseconds uint32 // time since the member itself last confirmed the state
 }
 
 // Request asks for a member's state. It names the state that the requesting member knows; zeros mean none.
@@ -27,13 +27,13 @@
 	Name            string
 	Incarnation     uint64
 	Generation, Seq uint64
-	BaseSeq         uint64 // of the earlier state; zero: the update holds the complete state
+	BaseSeq         uint64 // sequence number of the earlier state; zero: the update holds the complete state
 	Changed         version.Vector
 	ChangedAt       []uint64
 	Tombstones      []Tombstone
 	CompactedSeq    uint64
 	AppliedAt       int64
-	VectorHash      version.Hash // of the whole vector
+	VectorHash      version.Hash // hash of the whole vector after the update
 }
 
 // Tombstone records that an entry was deleted.
--- a/internal/fleet/gossip/state.go
+++ b/internal/fleet/gossip/state.go
@@ -13,12 +13,12 @@
 // the sequence numbers begin again.
 type MemberState struct {
 	Name         string
-	Incarnation  uint64 // of the process
+	Incarnation  uint64 // identifies the process
 	Generation   uint64 // counts the known starts of processes under this name: a later process has a higher generation
 	Seq          uint64 // counts the announcements of the process
 	Vector       version.Vector
 	VectorHash   version.Hash
-	ChangedAt    []uint64    // of each entry of the vector: the sequence number of its last change
+	ChangedAt    []uint64    // sequence number of the last change of each entry of the vector
 	Tombstones   []Tombstone // in the order of their deletion
 	CompactedSeq uint64      // tombstones up to this sequence number have been dropped
 	AppliedAt    int64       // when the member began to apply the vector, by its own clock, in Unix milliseconds
--- a/internal/fleet/ownership/message.go
+++ b/internal/fleet/ownership/message.go
@@ -9,8 +9,8 @@
 
 // The messages are encoded as arrays in the order of their fields, which must not change.
 
-// AttemptID identifies a request in proposals and releases. Process is a random number that each process draws at its start,
-// so that the IDs of a restarted process differ from its earlier ones.
+// AttemptID identifies the claim of one request on its idempotency key, with all proposals for it. Process is a random number
+// that each process draws at its start, so that the IDs of a restarted process differ from its earlier ones.
 type AttemptID struct {
 	Process uint64 `codec:"Process"`
 	Number  uint64 `codec:"Number"`
@@ -43,7 +43,7 @@
 	Attempt   AttemptID
 	Round     uint32
 	Vote      Vote
-	Place     idempotency.Place // in the group that owns the key, as far as the voter knows one
+	Place     idempotency.Place // a place in the group that owns the key, if the voter knows of one
 	Split     bool              // whether attempts with the key went to several groups
 	Remaining time.Duration     // time left to send further attempts, counted from the response
 }
@@ -54,7 +54,8 @@
 	NeverRan bool // whether it is known that none of its attempts ran
 }
 
-// KeyState is a voter's record of a key, as it is sent to another voter. Durations count from the message.
+// KeyState is a voter's record of a key, as it is sent to another voter. Durations are relative to the time of
+// the message.
 type KeyState struct {
 	Key          idempotency.KeyID
 	Place        idempotency.Place
--- a/internal/fleet/ownership/model_test.go
+++ b/internal/fleet/ownership/model_test.go
@@ -248,7 +248,7 @@
 		fmt.Fprint(&b, "|", i, m.incarnations[i], max(relative(v.abstainUntil), 0), max(relative(v.snapshotsUsefulFrom), 0), len(v.mergedFrom))
 		var lines []string
 		for _, g := range v.grants {
-			lines = append(lines, fmt.Sprint(g.attempt, g.round, g.place.Zone, g.ended))
+			lines = append(lines, fmt.Sprint(g.claim, g.round, g.place.Zone, g.ended))
 		}
 		v.table.Each(m.now, func(k idempotency.Record) bool {
 			lines = append(lines, fmt.Sprintf("%x %v %d %d %t %d %d", k.ID[:2], k.KeyState.Place.Zone, relative(k.KeyState.RetryUntil), relative(k.ExpiresAt), k.SeveralZones, k.Requests, k.InFlight))
--- a/internal/fleet/ownership/proposer.go
+++ b/internal/fleet/ownership/proposer.go
@@ -9,7 +9,7 @@
 // State is the progress of a proposal.
 type State uint8
 
-// The states. All but Pending are final.
+// The states. The caller waits for further responses only while the state is Pending.
 const (
 	Pending        State = iota
 	Claimed              // a majority has granted the proposal: attempts may be sent to its place
--- a/internal/fleet/ownership/responses_test.go
+++ b/internal/fleet/ownership/responses_test.go
@@ -14,7 +14,7 @@
 	expectTimeout := func(at, want time.Duration) {
 		t.Helper()
 		if got := tracker.Timeout(startTime.Add(at), voters, full, short); got != want {
-			t.Errorf("timeout after %v is %v, which is not the expected one", at, got)
+			t.Errorf("unexpected timeout after %v: %v", at, got)
 		}
 	}
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Millisecond {
--- a/internal/fleet/ownership/voter.go
+++ b/internal/fleet/ownership/voter.go
@@ -55,11 +55,11 @@
 
 // grant records a proposal that was granted, or a request that is known to have ended.
 type grant struct {
-	attempt AttemptID
+	claim   AttemptID
 	round   uint32
 	place   idempotency.Place
 	request *idempotency.Request
-	sent    *idempotency.Attempt
+	attempt *idempotency.Attempt
 	ended   bool
 }
 
@@ -107,7 +107,7 @@
 // its proposer knows.
 func (v *Voter) priorKeyState(now time.Time, p Proposal, vote Vote) idempotency.KeyState {
 	if vote == Grant {
-		return v.grants[p.Attempt].sent.OtherAttempts()
+		return v.grants[p.Attempt].attempt.OtherAttempts()
 	}
 	return v.table.KeyState(now, p.Key, p.Scope)
 }
@@ -121,7 +121,7 @@
 		return Abstain // two processes that continue one request use the same round: neither may rely on it
 	}
 	if current != nil {
-		current.sent.End(now, true) // the proposer has given up its earlier place, where no attempt ran
+		current.attempt.End(now, true) // the proposer has given up its earlier place, where no attempt ran
 		v.remove(current)
 	}
 	if len(v.grants) >= grantsPerKey*v.maxKeys {
@@ -137,17 +137,17 @@
 		return Abstain
 	}
 	terms := idempotency.Terms{Scope: p.Scope, Window: p.Window, Retention: p.Retention + p.TTL}
-	sent, err := request.Send(now, p.Place, terms)
+	attempt, err := request.Send(now, p.Place, terms)
 	if err != nil {
 		request.End()
 		return HeldElsewhere
 	}
-	v.record(now.Add(p.TTL), &grant{attempt: p.Attempt, round: p.Round, place: p.Place, request: request, sent: sent})
+	v.record(now.Add(p.TTL), &grant{claim: p.Attempt, round: p.Round, place: p.Place, request: request, attempt: attempt})
 	return Grant
 }
 
 func (v *Voter) record(expires time.Time, g *grant) {
-	v.grants[g.attempt] = g
+	v.grants[g.claim] = g
 	v.expiry.Push(expires, g)
 }
 
@@ -157,20 +157,20 @@
 	current := v.grants[r.Attempt]
 	if current == nil {
 		if len(v.grants) < grantsPerKey*v.maxKeys {
-			v.record(now.Add(maxProposalTTL), &grant{attempt: r.Attempt, ended: true})
+			v.record(now.Add(maxProposalTTL), &grant{claim: r.Attempt, ended: true})
 		}
 		return
 	}
 	if !current.ended {
 		current.ended = true
-		current.sent.End(now, r.NeverRan)
+		current.attempt.End(now, r.NeverRan)
 		current.request.End()
 	}
 }
 
 func (v *Voter) remove(g *grant) {
-	if v.grants[g.attempt] == g {
-		delete(v.grants, g.attempt)
+	if v.grants[g.claim] == g {
+		delete(v.grants, g.claim)
 	}
 	if !g.ended {
 		g.ended = true
@@ -187,7 +187,7 @@
 			return
 		}
 		if !g.ended {
-			g.sent.End(now, false)
+			g.attempt.End(now, false)
 		}
 		v.remove(g)
 	}
--- a/internal/fleet/partition/partition.go
+++ b/internal/fleet/partition/partition.go
@@ -2,8 +2,8 @@
 // the index of this instance among them. It does no I/O and reads no clock. A Tracker belongs to one host, which serialises
 // all calls.
 //
-// In doubt the number of instances is too high rather than too low: the part of one instance must not grow while another
-// instance may still use its own part. An instance that joins counts immediately. An instance that announces its departure is
+// In doubt the number of instances is too high rather than too low: the share of one instance must not grow while another
+// instance may still use its own share. An instance that joins counts immediately. An instance that announces its departure is
 // dropped immediately. A lost instance counts for the hold time. It continues to count while this instance does not reach a
 // majority of the instances that count, because this instance may itself be the isolated one.
 package partition
--- a/internal/fleet/partition/partition_test.go
+++ b/internal/fleet/partition/partition_test.go
@@ -10,8 +10,8 @@
 
 var startTime = time.Unix(1_800_000_000, 0)
 
-// A lost instance counts until its hold time has passed, and longer while most instances are lost. One that has left is dropped
-// immediately.
+// A lost instance counts until its hold time has passed, and longer while most instances are lost. An instance
+// that has left is dropped immediately.
 func TestLostInstanceCountsUntilHoldExpires(t *testing.T) {
 	tracker := New("b", 10*time.Second, 10)
 	for _, name := range []string{"a", "c", "d", "e"} {
@@ -80,12 +80,12 @@
 				}
 			}
 		}
-		for i, tracker := range trackers { // all instances reach each other: the parts add up to the limit, and no index is used twice
+		for i, tracker := range trackers { // all instances reach each other: the shares add up to the limit, and no index is used twice
 			for j := range trackers {
 				tracker.Update(now, name(j), Alive)
 			}
 			if count, index, _ := tracker.Partition(now); count != n || index != i {
-				t.Fatalf("instance %d has index %d of %d instances", i, index, count)
+				t.Fatalf("instance %d has index %d of %d instances, want its own index among all", i, index, count)
 			}
 		}
 	})
--- a/internal/fleet/version/order.go
+++ b/internal/fleet/version/order.go
@@ -54,9 +54,9 @@
 		}
 	}
 	// Ancestors of both entries that have the same number must be the same version.
-	for _, p := range b.Ancestors {
-		for _, q := range a.Ancestors {
-			if p.Number == q.Number && p.Number > 0 && p.Hash != q.Hash {
+	for _, ancestor := range b.Ancestors {
+		for _, other := range a.Ancestors {
+			if ancestor.Number == other.Number && ancestor.Number > 0 && ancestor.Hash != other.Hash {
 				return Forked
 			}
 		}
@@ -82,5 +82,5 @@
 	if a.Number > 0 && b.Number > a.Number {
 		return int(b.Number - a.Number)
 	}
-	return 1 + max(0, slices.IndexFunc(b.Ancestors, func(p Ancestor) bool { return p.Hash == a.Hash }))
+	return 1 + max(0, slices.IndexFunc(b.Ancestors, func(ancestor Ancestor) bool { return ancestor.Hash == a.Hash }))
 }
--- a/internal/fleet/version/version.go
+++ b/internal/fleet/version/version.go
@@ -20,15 +20,15 @@
 
 // The kinds.
 const (
-	Build         Kind = iota + 1 // of the program that the instance runs
+	Build         Kind = iota + 1 // the build of the program that the instance runs
 	Local                         // the part of the configuration that is specific to each instance
 	Configuration                 // the part of the configuration that all instances share: numbered by the fleet
-	Voters
-	Keyring  // identifies the keys, without the keys themselves
-	View     // of the members of the fleet: numbered by membership
-	List     // the endpoints of a cluster, as merged from its sources
-	Resource // an xDS resource
-	Rejected // a configuration file that was rejected, until one is accepted
+	Voters                        // the list of voters
+	Keyring                       // identifies the keys, without the keys themselves
+	View                          // the view of the members of the fleet: numbered by membership
+	List                          // the endpoint list of a cluster, as merged from its sources
+	Resource                      // an xDS resource
+	Rejected                      // a configuration file that was rejected, until one is accepted
 )
 
 var kindNames = [...]string{"", "build", "own", "configuration", "voters", "keyring", "view", "list", "resource", "refused"}
@@ -95,9 +95,9 @@
 // must not change.
 type Entry struct {
 	Kind        Kind       `json:"kind"`
-	Name        string     `json:"name,omitempty"` // of an endpoint list: its cluster; of an xDS resource: its type and name
+	Name        string     `json:"name,omitempty"` // cluster of an endpoint list; type and name of an xDS resource
 	Hash        Hash       `json:"hash"`
-	Number      uint64     `json:"number,omitempty"` // assigned by the fleet, or by membership; 0: none
+	Number      uint64     `json:"number,omitempty"` // number assigned by the fleet or by membership; 0: none
 	Ancestors   []Ancestor `json:"before,omitempty"` // the newest first
 	Description string     `json:"text,omitempty"`   // for operators
 }
--- a/internal/fleet/version/version_test.go
+++ b/internal/fleet/version/version_test.go
@@ -82,14 +82,14 @@
 		}
 	}
 	if restored := AssignNumber(Configuration, "", hashOfText("a"), "", []Entry{next}); restored.Number != first.Number || Compare(restored, next) != Older {
-		t.Errorf("content of the first version has the entry %+v", restored)
+		t.Errorf("content of the first version has the entry %+v, want the number of the first version and an older one than the newest", restored)
 	}
 	one, other := Entry{Kind: List, Hash: hashOfText("x")}, Entry{Kind: List, Hash: hashOfText("y")}
 	if got := Compare(one, other); got != Unknown {
-		t.Errorf("Compare of entries without ancestors is %v", got)
+		t.Errorf("Compare of entries without ancestors is %v, want unknown", got)
 	}
 	if a, b := one.Successor(hashOfText("y"), ""), other.Successor(hashOfText("x"), ""); Compare(a, b) != Unknown {
-		t.Errorf("Compare of entries that have replaced each other is %v", Compare(a, b))
+		t.Errorf("Compare of entries that have replaced each other is %v, want unknown", Compare(a, b))
 	}
 }
 
@@ -115,10 +115,10 @@
 		}
 	}
 	if got := vector.Without(List, "a"); len(got) != 3 || seen[got.Digest()] {
-		t.Errorf("vector without the endpoint list a is %+v", got)
+		t.Errorf("vector without the endpoint list a is %+v, want the other three entries", got)
 	}
 	if e, ok := vector.Find(Configuration, ""); !ok || e.Number != 7 {
-		t.Errorf("Find returned %+v for the configuration", e)
+		t.Errorf("Find returned %+v for the configuration, want number 7", e)
 	}
 	unsorted := slices.Clone(vector)
 	unsorted[0], unsorted[1] = unsorted[1], unsorted[0]
--- a/internal/fleet/versionlag/versionlag.go
+++ b/internal/fleet/versionlag/versionlag.go
@@ -50,7 +50,7 @@
 // Limits are the time limits of a Detector.
 type Limits struct {
 	RolloutTimeout time.Duration // how long a member may take to adopt a version
-	MaxAge         time.Duration // of a member's report
+	MaxAge         time.Duration // maximum age of a member's report; an older one does not count
 }
 
 // Member is the latest known report of a member of the view.
@@ -58,7 +58,7 @@
 	Name       string
 	Vector     version.Vector // nil: the member has reported nothing
 	VectorHash version.Hash
-	Age        time.Duration // since the member confirmed the vector
+	Age        time.Duration // time since the member confirmed the vector
 }
 
 // Finding describes an entry for which a member is not current.
@@ -69,14 +69,14 @@
 	Has            version.Entry `json:"has"`
 	Expected       version.Entry `json:"want"`
 	VersionsBehind int           `json:"behind,omitempty"`
-	Duration       time.Duration `json:"for"` // up to the member's last report
+	Duration       time.Duration `json:"for"` // duration of the finding up to the member's last report
 }
 
 // Status is the state of a member.
 type Status struct {
 	Member     string         `json:"member"`
 	State      State          `json:"state"`
-	Age        time.Duration  `json:"age"` // of the member's report
+	Age        time.Duration  `json:"age"` // age of the member's report
 	VectorHash version.Hash   `json:"digest"`
 	Vector     version.Vector `json:"vector,omitempty"`
 	Findings   []Finding      `json:"findings,omitempty"`
--- a/internal/fleet/versionlag/versionlag_test.go
+++ b/internal/fleet/versionlag/versionlag_test.go
@@ -106,7 +106,8 @@
 }
 
 // It is not known which versions a member has applied since its last report. The member lags only once a report made after the
-// rollout timeout says so, and the newest version is flagged only once most members have made such a report.
+// rollout timeout says so, and the newest version is flagged only once at least half of the
+// members have made such a report.
 func TestStaleReportIsNotLagging(t *testing.T) {
 	a := configuration(1, "a")
 	b := configuration(2, "b", version.Ancestor{Number: 1, Hash: a.Hash})
