--- a/internal/fleet/versionlag/versionlag.go
+++ b/internal/fleet/versionlag/versionlag.go
@@ -50,7 +50,7 @@
 // Limits are the time limits of a Detector.
 type Limits struct {
 	RolloutTimeout time.Duration // how long a member may take to adopt a version
-	MaxAge         time.Duration // maximum age of a member's report; an older one does not count
+	MaxAge         time.Duration // maximum age of a member's report; beyond it the member is NotReporting
 }
 
 // Member is the latest known report of a member of the view.
