--- a/internal/fleet/appliedversions.go
+++ b/internal/fleet/appliedversions.go
@@ -21,16 +21,16 @@
 type appliedVersions struct {
 	fleet *Fleet
 
-	mu          sync.Mutex // guards the fields below
-	core        *gossip.Core
-	lag         *versionlag.Detector
-	vector      version.Vector // as announced last, or to be announced next
-	announcedAt time.Time
-	reported    bool                        // the gateway has reported what it applies
-	unnumbered  bool                        // the configuration has no number yet
-	addresses   map[string]string           // of the members of the view
-	states      map[string]versionlag.State // as logged last
-	stateSince  map[string]time.Time
+	mu                      sync.Mutex // guards the fields below
+	core                    *gossip.Core
+	lag                     *versionlag.Detector
+	vector                  version.Vector // as announced last, or to be announced next
+	announcedAt             time.Time
+	hasReported             bool                        // the gateway has reported what it applies
+	configurationUnnumbered bool                        // the configuration has no number yet
+	addresses               map[string]string           // of the members of the view
+	states                  map[string]versionlag.State // as logged last
+	stateSince              map[string]time.Time
 }
 
 const (
@@ -62,7 +62,7 @@
 	}
 	build := buildDescription()
 	a.vector = a.vector.With(version.Entry{Kind: version.Build, Hash: version.HashOf([]byte(build)), Description: strings.TrimSpace(build)})
-	a.setOwn(f.options)
+	a.setOwnEntries(f.options)
 	return a
 }
 
@@ -81,9 +81,9 @@
 	return description
 }
 
-// setOwn sets the entries of this instance's voters and keyring. A key is identified by a fingerprint, which tells nothing about
+// setOwnEntries sets the entries of this instance's voters and keyring. A key is identified by a fingerprint, which tells nothing about
 // the key.
-func (a *appliedVersions) setOwn(o Options) {
+func (a *appliedVersions) setOwnEntries(o Options) {
 	var fingerprints []byte
 	for _, key := range o.Keyring {
 		mac := hmac.New(sha256.New, key)
@@ -93,11 +93,11 @@
 	voters := version.HashOf([]byte(strings.Join(o.Voters, "\n")))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.setEntry(version.Entry{Kind: version.Voters, Hash: voters, Description: clip(strings.Join(o.Voters, " "))})
+	a.setEntry(version.Entry{Kind: version.Voters, Hash: voters, Description: truncateDescription(strings.Join(o.Voters, " "))})
 	a.setEntry(version.Entry{Kind: version.Keyring, Hash: version.HashOf(fingerprints)})
 }
 
-func clip(s string) string { return s[:min(len(s), maxDescriptionBytes)] }
+func truncateDescription(s string) string { return s[:min(len(s), maxDescriptionBytes)] }
 
 // setEntry changes one entry of the vector, which remembers the version that it replaces. The caller holds the lock.
 func (a *appliedVersions) setEntry(e version.Entry) {
@@ -116,7 +116,7 @@
 	if len(entries) == 0 {
 		return
 	}
-	a.reported = true
+	a.hasReported = true
 	for _, e := range entries {
 		if e.Kind == version.Configuration {
 			a.setConfiguration(e)
@@ -134,10 +134,10 @@
 	if ok && current.Hash == e.Hash {
 		return
 	}
-	if ok && !a.unnumbered {
+	if ok && !a.configurationUnnumbered {
 		e = version.AssignNumber(e.Kind, e.Name, e.Hash, e.Description, a.core.Entries(e.Kind, e.Name))
 	} else {
-		a.unnumbered = true
+		a.configurationUnnumbered = true
 	}
 	a.vector = a.vector.With(e)
 }
@@ -195,7 +195,7 @@
 
 // announce announces the vector where it has changed. The caller holds the lock.
 func (a *appliedVersions) announce(now time.Time) {
-	if !a.reported || now.Sub(a.announcedAt) < settleDelay {
+	if !a.hasReported || now.Sub(a.announcedAt) < settleDelay {
 		return
 	}
 	before := a.core.Self()
@@ -236,7 +236,7 @@
 // assignNumber gives the configuration that this process started with its number, once the states of a majority of the view
 // are known. The caller holds the lock.
 func (a *appliedVersions) assignNumber() {
-	if !a.unnumbered || !a.reported || len(a.addresses) == 0 {
+	if !a.configurationUnnumbered || !a.hasReported || len(a.addresses) == 0 {
 		return
 	}
 	known := 1
@@ -249,7 +249,7 @@
 	if !ok || 2*known <= len(a.addresses) {
 		return
 	}
-	a.unnumbered = false
+	a.configurationUnnumbered = false
 	a.vector = a.vector.With(version.AssignNumber(e.Kind, e.Name, e.Hash, e.Description, a.core.Entries(e.Kind, e.Name)))
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -236,7 +236,7 @@
 		return err
 	}
 	if f.applied != nil {
-		f.applied.setOwn(o)
+		f.applied.setOwnEntries(o)
 	}
 	if f.needsRestart(o) {
 		f.log.Warn("restart needed for the rest of the fleet block, and for keyed classes with longer times")
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,20 +28,20 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/hashicorp/memberlist.(*Memberlist).probeNode"))
 }
 
-// crew is a fleet in one process.
-type crew struct {
-	t      *testing.T
-	links  *lbtest.Links
-	all    []*Fleet
-	change func(*Options)
+// testFleet is a fleet in one process.
+type testFleet struct {
+	t             *testing.T
+	links         *lbtest.Links
+	instances     []*Fleet
+	changeOptions func(*Options)
 }
 
-var key = bytes.Repeat([]byte{7}, 32)
+var encryptionKey = bytes.Repeat([]byte{7}, 32)
 
-func name(i int) string { return fmt.Sprint("i", i) }
+func instanceName(i int) string { return fmt.Sprint("i", i) }
 
-// sockets opens an instance's sockets behind the links.
-func (c *crew) sockets(i int) (memberlist.NodeAwareTransport, string) {
+// openTransport opens an instance's openTransport behind the links.
+func (c *testFleet) openTransport(i int) (memberlist.NodeAwareTransport, string) {
 	c.t.Helper()
 	t, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -50,19 +50,19 @@
 	return c.links.Wrap(i, t, t.Addr()), t.Addr()
 }
 
-func (c *crew) start(i int, fresh bool, voters ...string) *Fleet {
+func (c *testFleet) startInstance(i int, fresh bool, voters ...string) *Fleet {
 	c.t.Helper()
-	tr, addr := c.sockets(i)
-	o := Options{FleetName: "test", Name: name(i), Listen: addr, Keyring: [][]byte{key}, Voters: voters, MaxMembers: 32, MaxKeys: 1 << 14, NewFleet: fresh,
+	tr, addr := c.openTransport(i)
+	o := Options{FleetName: "test", Name: instanceName(i), Listen: addr, Keyring: [][]byte{encryptionKey}, Voters: voters, MaxMembers: 32, MaxKeys: 1 << 14, NewFleet: fresh,
 		MaxDeadline: 600 * time.Millisecond, KeyRetention: 3 * time.Second, ProbeInterval: 100 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 		Transport: tr}
-	for _, f := range c.all {
+	for _, f := range c.instances {
 		if f != nil && f.options.Name != o.Name {
 			o.Seeds = append(o.Seeds, f.options.Listen)
 		}
 	}
-	if c.change != nil {
-		c.change(&o)
+	if c.changeOptions != nil {
+		c.changeOptions(&o)
 	}
 	f, err := Start(o)
 	if err != nil {
@@ -72,33 +72,33 @@
 	return f
 }
 
-// newCrew starts n instances, the first of which vote, and waits until each sees all.
-func newCrew(t *testing.T, n, voters int) *crew {
+// startTestFleet starts n instances, the first of which vote, and waits until each sees all.
+func startTestFleet(t *testing.T, n, voters int) *testFleet {
 	t.Helper()
-	c := &crew{t: t, links: lbtest.NewLinks()}
+	c := &testFleet{t: t, links: lbtest.NewLinks()}
 	t.Cleanup(c.links.Close)
 	var names []string
 	for i := range voters {
-		names = append(names, name(i))
+		names = append(names, instanceName(i))
 	}
 	for i := range n {
-		c.all = append(c.all, c.start(i, true, names...))
+		c.instances = append(c.instances, c.startInstance(i, true, names...))
 	}
-	c.sees(n)
+	c.awaitMembers(n)
 	return c
 }
 
-func (c *crew) sees(n int) {
+func (c *testFleet) awaitMembers(n int) {
 	c.t.Helper()
-	for _, f := range c.all {
+	for _, f := range c.instances {
 		lbtest.Until(c.t, fmt.Sprintf("%s sees %d", f.options.Name, n), func() bool {
 			got := f.Quota().Instances
-			return got == n && f.count("alive") == n
+			return got == n && f.countMembers("alive") == n
 		})
 	}
 }
 
-func (f *Fleet) count(state string) (n int) {
+func (f *Fleet) countMembers(state string) (n int) {
 	for _, m := range f.Members() {
 		if m.State == state {
 			n++
@@ -110,22 +110,22 @@
 // proposalTTL is how long a test's proposal may be answered.
 const proposalTTL = 600 * time.Millisecond
 
-func (f *Fleet) asks(key string, zone string) ownership.Proposal {
+func (f *Fleet) newProposal(key string, zone string) ownership.Proposal {
 	return ownership.Proposal{Attempt: f.NextAttemptID(), Key: idempotency.KeyIDOf("", key), Place: idempotency.Place{Cluster: "c", Zone: zone}, Scope: lbpolicy.ScopeZone,
 		Window: time.Second, Retention: time.Second, TTL: proposalTTL}
 }
 
 // A repeat through another instance learns where the first try went, whatever the way; what never ran is free again.
-func TestClaimKey(t *testing.T) {
-	c := newCrew(t, 4, 3)
+func TestClaimedKeyIsOwnedElsewhereUntilReleased(t *testing.T) {
+	c := startTestFleet(t, 4, 3)
 	for i := range 24 {
-		first, second := c.all[i%4], c.all[(i+1+i/4%3)%4]
+		first, second := c.instances[i%4], c.instances[(i+1+i/4%3)%4]
 		k := fmt.Sprint("k", i)
-		a := first.asks(k, "north")
+		a := first.newProposal(k, "north")
 		if state, past := first.ClaimKey(t.Context(), a); state != ownership.Claimed || !past.Known {
 			t.Fatalf("%s: %v %+v", k, state, past)
 		}
-		b := second.asks(k, "south")
+		b := second.newProposal(k, "south")
 		if state, past := second.ClaimKey(t.Context(), b); state != ownership.OwnedElsewhere || past.Place.Zone != "north" {
 			t.Errorf("%s by another way: %v %+v", k, state, past)
 		}
@@ -136,7 +136,7 @@
 		first.Release(ownership.Release{Attempt: a.Attempt, NeverRan: true})
 		second.Release(ownership.Release{Attempt: b.Attempt, NeverRan: true})
 		lbtest.Until(t, "a key with which nothing ran is free", func() bool {
-			state, _ := second.ClaimKey(t.Context(), second.asks(k, "south"))
+			state, _ := second.ClaimKey(t.Context(), second.newProposal(k, "south"))
 			return state == ownership.Claimed
 		})
 	}
@@ -145,8 +145,8 @@
 // Through cuts, one-way cuts, late, doubled and overtaken packets and instances that die and come back, callers ask for the
 // same keys through all instances for one zone or the other: of what each instance may send at one time no key is in two
 // zones.
-func TestKeyIsOwnedByOneGroup(t *testing.T) {
-	c := newCrew(t, 5, 5)
+func TestKeyHasOneZoneDuringPartitionsAndRestarts(t *testing.T) {
+	c := startTestFleet(t, 5, 5)
 	c.links.Distort()
 	type bound struct {
 		zone       string
@@ -166,11 +166,11 @@
 			for i := range rounds {
 				k := fmt.Sprintf("k-%d-%d", i, caller/6) // six callers for each key, at about the same time
 				instances.Lock()
-				f := c.all[d.IntN(5)]
+				f := c.instances[d.IntN(5)]
 				instances.Unlock()
 				zone := []string{"north", "south"}[d.IntN(2)]
 				made := time.Now()
-				a := f.asks(k, zone)
+				a := f.newProposal(k, zone)
 				state, past := f.ClaimKey(ctx, a)
 				now := time.Now()
 				sends := state == ownership.Claimed && now.Before(past.RetryUntil) && now.Before(made.Add(a.TTL))
@@ -209,12 +209,12 @@
 			}
 			dies := i / 4 % 5
 			instances.Lock()
-			old := c.all[dies]
+			old := c.instances[dies]
 			instances.Unlock()
 			old.Close()
-			fresh := c.start(dies, false, old.options.Voters...)
+			fresh := c.startInstance(dies, false, old.options.Voters...)
 			instances.Lock()
-			c.all[dies] = fresh
+			c.instances[dies] = fresh
 			instances.Unlock()
 		}
 	}
@@ -235,23 +235,23 @@
 
 // An instance that leaves counts no more at once; one that is lost counts on, and is not taken for its former self when it
 // comes back.
-func TestLeaveAndLoss(t *testing.T) {
-	c := newCrew(t, 4, 3)
-	c.all[3].Leave(2 * time.Second)
-	for _, f := range c.all[:3] {
+func TestDepartedMemberLeavesQuotaAndLostMemberStaysInIt(t *testing.T) {
+	c := startTestFleet(t, 4, 3)
+	c.instances[3].Leave(2 * time.Second)
+	for _, f := range c.instances[:3] {
 		lbtest.Until(t, "one has left", func() bool {
 			quota := f.Quota()
-			return quota.Instances == 3 && f.count("left") == 1 && name(quota.Index) == f.options.Name
+			return quota.Instances == 3 && f.countMembers("left") == 1 && instanceName(quota.Index) == f.options.Name
 		})
 	}
-	c.all[2].Close()
-	lbtest.Until(t, "one is lost", func() bool { return c.all[0].count("dead") == 1 })
-	if n := c.all[0].Quota().Instances; n != 3 {
+	c.instances[2].Close()
+	lbtest.Until(t, "one is lost", func() bool { return c.instances[0].countMembers("dead") == 1 })
+	if n := c.instances[0].Quota().Instances; n != 3 {
 		t.Errorf("%d share while it is not known whether the lost one is there", n)
 	}
-	back := c.start(2, false, c.all[2].options.Voters...)
-	lbtest.Until(t, "it is back", func() bool { return c.all[0].count("alive") == 3 && back.count("alive") == 3 })
-	if back.process == c.all[2].process {
+	back := c.startInstance(2, false, c.instances[2].options.Voters...)
+	lbtest.Until(t, "it is back", func() bool { return c.instances[0].countMembers("alive") == 3 && back.countMembers("alive") == 3 })
+	if back.process == c.instances[2].process {
 		t.Error("the same process twice")
 	}
 	if _, silent, voter := back.VoterKeyState(idempotency.KeyID{}, lbpolicy.ScopeAll); !voter || silent == 0 {
@@ -265,32 +265,32 @@
 
 // A voter that was started anew learns what it had agreed to from the others, and holds to it, before its silence would be
 // over by time.
-func TestVoterRecovery(t *testing.T) {
-	c := &crew{t: t, links: lbtest.NewLinks(), change: func(o *Options) { o.KeyRetention = time.Hour }}
+func TestRestartedVoterRecoversKeysFromSnapshots(t *testing.T) {
+	c := &testFleet{t: t, links: lbtest.NewLinks(), changeOptions: func(o *Options) { o.KeyRetention = time.Hour }}
 	t.Cleanup(c.links.Close)
 	for i := range 3 {
-		c.all = append(c.all, c.start(i, true, name(0), name(1), name(2)))
+		c.instances = append(c.instances, c.startInstance(i, true, instanceName(0), instanceName(1), instanceName(2)))
 	}
-	c.sees(3)
+	c.awaitMembers(3)
 	const n = 3*maxPartKeys + 7
 	for i := range n {
-		a := c.all[0].asks(fmt.Sprint("k", i), "north")
+		a := c.instances[0].newProposal(fmt.Sprint("k", i), "north")
 		a.Window, a.Retention = time.Minute, time.Minute
-		if state, _ := c.all[0].ClaimKey(t.Context(), a); state != ownership.Claimed {
+		if state, _ := c.instances[0].ClaimKey(t.Context(), a); state != ownership.Claimed {
 			t.Fatal(state)
 		}
-		c.all[0].Release(ownership.Release{Attempt: a.Attempt})
+		c.instances[0].Release(ownership.Release{Attempt: a.Attempt})
 	}
-	old := c.all[1]
+	old := c.instances[1]
 	old.Close()
 	c.links.Slow(400 * time.Millisecond) // a copy takes longer than the time between two asks for one
-	c.all[1] = c.start(1, false, old.options.Voters...)
+	c.instances[1] = c.startInstance(1, false, old.options.Voters...)
 	lbtest.Until(t, "it speaks again", func() bool {
-		_, silent, _ := c.all[1].VoterKeyState(idempotency.KeyID{}, lbpolicy.ScopeAll)
+		_, silent, _ := c.instances[1].VoterKeyState(idempotency.KeyID{}, lbpolicy.ScopeAll)
 		return silent == 0
 	})
 	for i := range n {
-		if p, _, _ := c.all[1].VoterKeyState(idempotency.KeyIDOf("", fmt.Sprint("k", i)), lbpolicy.ScopeZone); !p.Known || p.Place.Zone != "north" {
+		if p, _, _ := c.instances[1].VoterKeyState(idempotency.KeyIDOf("", fmt.Sprint("k", i)), lbpolicy.ScopeZone); !p.Known || p.Place.Zone != "north" {
 			t.Fatalf("key %d: %+v", i, p)
 		}
 	}
@@ -298,22 +298,22 @@
 
 // Strangers get in nowhere: with a wrong key, another fleet's name, garbage, packets that are played again.
 func TestForeignPacketsAreRejected(t *testing.T) {
-	c := newCrew(t, 3, 3)
+	c := startTestFleet(t, 3, 3)
 	for _, change := range []func(*Options){
 		func(o *Options) { o.Keyring = [][]byte{bytes.Repeat([]byte{8}, 32)} },
 		func(o *Options) { o.FleetName = "other" },
 	} {
-		c.change = change
-		stranger := c.start(9, true)
-		if _, err := stranger.memberlist.Join([]string{c.all[0].options.Listen}); err == nil {
+		c.changeOptions = change
+		stranger := c.startInstance(9, true)
+		if _, err := stranger.memberlist.Join([]string{c.instances[0].options.Listen}); err == nil {
 			t.Error("a stranger has joined")
 		}
-		if n := stranger.count("alive"); n != 1 {
+		if n := stranger.countMembers("alive"); n != 1 {
 			t.Errorf("a stranger sees %d members", n)
 		}
 		stranger.Close()
 	}
-	conn, err := net.Dial("udp", c.all[0].options.Listen)
+	conn, err := net.Dial("udp", c.instances[0].options.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -326,25 +326,25 @@
 		}
 		conn.Write(text)
 	}
-	a := c.all[1].asks("k", "north")
-	if state, _ := c.all[1].ClaimKey(t.Context(), a); state != ownership.Claimed {
+	a := c.instances[1].newProposal("k", "north")
+	if state, _ := c.instances[1].ClaimKey(t.Context(), a); state != ownership.Claimed {
 		t.Errorf("after garbage: %v", state)
 	}
 	// What was said once is said again, by whom it may be.
-	text, err := encode(&packet{From: name(1), Items: []item{{Release: &ownership.Release{Attempt: a.Attempt}}, {Proposal: &a}}})
+	text, err := encode(&packet{From: instanceName(1), Items: []item{{Release: &ownership.Release{Attempt: a.Attempt}}, {Proposal: &a}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		c.all[0].handlePacket(text)
-		c.all[2].handlePacket(text)
+		c.instances[0].handlePacket(text)
+		c.instances[2].handlePacket(text)
 	}
-	b := c.all[2].asks("k", "south")
-	if state, past := c.all[2].ClaimKey(t.Context(), b); state != ownership.OwnedElsewhere || past.Place.Zone != "north" {
+	b := c.instances[2].newProposal("k", "south")
+	if state, past := c.instances[2].ClaimKey(t.Context(), b); state != ownership.OwnedElsewhere || past.Place.Zone != "north" {
 		t.Errorf("after a replay: %v %+v", state, past)
 	}
-	for _, f := range c.all {
-		if f.count("alive") != 3 {
+	for _, f := range c.instances {
+		if f.countMembers("alive") != 3 {
 			t.Errorf("%s sees %v", f.options.Name, f.Members())
 		}
 	}
@@ -352,9 +352,9 @@
 
 // A member that tells of more members than there may be, all of them real here, fills no table over its bound, and keys are
 // bound as before. Those that are lost make room for others.
-func TestMaxMembers(t *testing.T) {
-	c := newCrew(t, 3, 3)
-	f := c.all[1]
+func TestMemberTableStaysWithinMaxMembers(t *testing.T) {
+	c := startTestFleet(t, 3, 3)
+	f := c.instances[1]
 	for i := range 100 {
 		n := &memberlist.Node{Name: fmt.Sprint("passing ", i), Addr: net.IPv4(127, 0, 0, 1)}
 		if (delegate{f}).NotifyAlive(n) == nil {
@@ -364,16 +364,16 @@
 	}
 	all := f.Members()
 	knows := func(name string) bool { return slices.ContainsFunc(all, func(m Member) bool { return m.Name == name }) }
-	if len(all) > f.options.MaxMembers || !knows(name(0)) || !knows("passing 99") {
+	if len(all) > f.options.MaxMembers || !knows(instanceName(0)) || !knows("passing 99") {
 		t.Errorf("%d members, or the wrong ones: %v", len(all), all)
 	}
-	boaster := c.boast(40)
-	boaster.Join([]string{c.all[0].options.Listen})
+	boaster := c.startOversizedPeer(40)
+	boaster.Join([]string{c.instances[0].options.Listen})
 	for i := range 20 {
-		f := c.all[i%3]
+		f := c.instances[i%3]
 		// On a busy machine voters may answer too late for one ask; a further one for the same place is agreed to as well.
 		lbtest.Until(t, fmt.Sprintf("key %d is bound", i), func() bool {
-			state, _ := f.ClaimKey(t.Context(), f.asks(fmt.Sprint(i), "north"))
+			state, _ := f.ClaimKey(t.Context(), f.newProposal(fmt.Sprint(i), "north"))
 			return state == ownership.Claimed
 		})
 		if n := len(f.Members()); n > f.options.MaxMembers {
@@ -382,13 +382,13 @@
 	}
 }
 
-// boast makes a peer with the fleet's own key and label that knows of many members: they are all at one address.
-func (c *crew) boast(n int) *memberlist.Memberlist {
+// startOversizedPeer makes a peer with the fleet's own key and label that knows of many members: they are all at one address.
+func (c *testFleet) startOversizedPeer(n int) *memberlist.Memberlist {
 	c.t.Helper()
 	newPeer := func(name string) *memberlist.Memberlist {
-		tr, _ := c.sockets(7)
+		tr, _ := c.openTransport(7)
 		conf := memberlist.DefaultLocalConfig()
-		conf.Name, conf.Label, conf.SecretKey, conf.Transport = name, fmt.Sprintf("silvertrail/%d/test", protocolVersion), key, tr
+		conf.Name, conf.Label, conf.SecretKey, conf.Transport = name, fmt.Sprintf("silvertrail/%d/test", protocolVersion), encryptionKey, tr
 		conf.LogOutput = io.Discard
 		list, err := memberlist.Create(conf)
 		if err != nil {
@@ -408,36 +408,36 @@
 }
 
 // A fleet's key is changed while it runs: each step at one instance after the other, keys bound all the time.
-func TestKeyRotation(t *testing.T) {
-	c := newCrew(t, 3, 3)
+func TestKeysAreClaimedDuringKeyRotation(t *testing.T) {
+	c := startTestFleet(t, 3, 3)
 	next := bytes.Repeat([]byte{9}, 32)
-	for step, ring := range [][][]byte{{key, next}, {next, key}, {next}} {
-		for i, f := range c.all {
+	for step, ring := range [][][]byte{{encryptionKey, next}, {next, encryptionKey}, {next}} {
+		for i, f := range c.instances {
 			if err := f.RotateKeys(ring); err != nil {
 				t.Fatal(err)
 			}
-			a := f.asks(fmt.Sprint(step, "-", i), "north")
+			a := f.newProposal(fmt.Sprint(step, "-", i), "north")
 			if state, _ := f.ClaimKey(t.Context(), a); state != ownership.Claimed {
 				t.Errorf("step %d, instance %d: %v", step, i, state)
 			}
 		}
 	}
-	if err := c.all[0].RotateKeys([][]byte{key}); err != nil {
+	if err := c.instances[0].RotateKeys([][]byte{encryptionKey}); err != nil {
 		t.Fatal(err)
 	}
-	if state, _ := c.all[0].ClaimKey(t.Context(), c.all[0].asks("old", "north")); state != ownership.Unknown {
+	if state, _ := c.instances[0].ClaimKey(t.Context(), c.instances[0].newProposal("old", "north")); state != ownership.Unknown {
 		t.Errorf("with the old key: %v", state)
 	}
-	if err := c.all[1].ReconfigureVoters([]string{name(0), name(1), "i9"}); err == nil {
+	if err := c.instances[1].ReconfigureVoters([]string{instanceName(0), instanceName(1), "i9"}); err == nil {
 		t.Error("voters whose majorities need not meet those before were taken")
 	}
-	if err := c.all[1].Update(Options{Voters: []string{name(0), name(1), name(2), "i3"}, Keyring: [][]byte{{1}}}); err == nil || len(c.all[1].voterNames()) != 3 {
-		t.Errorf("an unusable key: %v, and voters %q", err, c.all[1].voterNames())
+	if err := c.instances[1].Update(Options{Voters: []string{instanceName(0), instanceName(1), instanceName(2), "i3"}, Keyring: [][]byte{{1}}}); err == nil || len(c.instances[1].voterNames()) != 3 {
+		t.Errorf("an unusable key: %v, and voters %q", err, c.instances[1].voterNames())
 	}
-	if err := c.all[1].ReconfigureVoters([]string{name(0), name(1), name(2), "i3"}); err != nil {
+	if err := c.instances[1].ReconfigureVoters([]string{instanceName(0), instanceName(1), instanceName(2), "i3"}); err != nil {
 		t.Error(err)
 	}
-	if err := c.all[1].ReconfigureVoters([]string{name(0), name(1), name(2)}); err == nil {
+	if err := c.instances[1].ReconfigureVoters([]string{instanceName(0), instanceName(1), instanceName(2)}); err == nil {
 		t.Error("voters were changed twice at once")
 	}
 }
--- a/internal/fleet/keyownership.go
+++ b/internal/fleet/keyownership.go
@@ -26,18 +26,18 @@
 	voter     *ownership.Voter             // on every instance: a reload may make it one of the voters
 	snapshots map[string]*incomingSnapshot // by voter
 
-	claimsMu   sync.Mutex // guards the fields below
-	responses  ownership.ResponseTracker
-	claims     map[ownership.AttemptID]*claim
-	lastNumber uint64
+	claimsMu          sync.Mutex // guards the fields below
+	responses         ownership.ResponseTracker
+	claims            map[ownership.AttemptID]*claim
+	lastAttemptNumber uint64
 }
 
 // claim is a proposal in progress.
 type claim struct {
-	proposer  *ownership.Proposer
-	voters    []string
-	rounds    int           // how often the proposal was sent
-	responded chan struct{} // holds a token when a response has arrived
+	proposer        *ownership.Proposer
+	voters          []string
+	rounds          int           // how often the proposal was sent
+	responseArrived chan struct{} // holds a token when a response has arrived
 }
 
 func (k *keyOwnership) start(f *Fleet, now time.Time) {
@@ -56,8 +56,8 @@
 func (k *keyOwnership) NextAttemptID() ownership.AttemptID {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
-	k.lastNumber++
-	return ownership.AttemptID{Process: k.fleet.process, Number: k.lastNumber}
+	k.lastAttemptNumber++
+	return ownership.AttemptID{Process: k.fleet.process, Number: k.lastAttemptNumber}
 }
 
 // ClaimKey has the voters agree that the attempts of a key go to a place. It returns when that is certain one way or the other,
@@ -68,7 +68,7 @@
 	if k.fleet.membership != nil && k.fleet.membership.isMinorityPartition(voters) {
 		return ownership.Unknown, idempotency.KeyState{} // no majority can agree: the request does not wait, nor count as in flight
 	}
-	c := &claim{proposer: ownership.NewProposer(now, p, len(voters)), voters: voters, responded: make(chan struct{}, 1)}
+	c := &claim{proposer: ownership.NewProposer(now, p, len(voters)), voters: voters, responseArrived: make(chan struct{}, 1)}
 	timeout := k.addClaim(now, p, c)
 	defer k.removeClaim(p.Attempt, c)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -91,7 +91,7 @@
 			return state, past
 		}
 		select {
-		case <-c.responded:
+		case <-c.responseArrived:
 		case <-retry:
 			return ownership.Pending, idempotency.KeyState{}
 		case <-ctx.Done():
@@ -187,7 +187,7 @@
 	}
 	c.proposer.Receive(slices.Index(c.voters, from), *r)
 	select {
-	case c.responded <- struct{}{}:
+	case c.responseArrived <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -26,11 +26,11 @@
 }
 
 const (
-	maxPacketBytes   = 64 << 10
-	udpBufferBytes   = 1 << 20 // requested from the system, for bursts
-	packetQueue      = 64
-	maxPortAttempts  = 10 // where the system picks the port, which may be free for only one of the two protocols
-	acceptRetryDelay = 20 * time.Millisecond
+	maxPacketBytes    = 64 << 10
+	udpBufferBytes    = 1 << 20 // requested from the system, for bursts
+	packetQueueLength = 64
+	maxPortAttempts   = 10 // where the system picks the port, which may be free for only one of the two protocols
+	acceptRetryDelay  = 20 * time.Millisecond
 )
 
 // Listen opens both sockets; port 0 takes a free port.
@@ -66,7 +66,7 @@
 	t := &Transport{
 		udp:     udp,
 		tcp:     tcp,
-		packets: make(chan *memberlist.Packet, packetQueue),
+		packets: make(chan *memberlist.Packet, packetQueueLength),
 		streams: make(chan net.Conn),
 		closed:  make(chan struct{}),
 	}
--- a/internal/fleet/views_test.go
+++ b/internal/fleet/views_test.go
@@ -12,8 +12,8 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// viewing starts n instances that go by views, all of them voters, with ways between them that can be cut.
-func viewing(t *testing.T, n int) ([]*Fleet, *lbtest.Links) {
+// startFleetWithViews starts n instances that go by views, all of them voters, with ways between them that can be cut.
+func startFleetWithViews(t *testing.T, n int) ([]*Fleet, *lbtest.Links) {
 	t.Helper()
 	links := lbtest.NewLinks()
 	t.Cleanup(links.Close)
@@ -40,7 +40,7 @@
 	return all, links
 }
 
-func inView(all []*Fleet, members int) func() bool {
+func haveViewOf(all []*Fleet, members int) func() bool {
 	return func() bool {
 		for _, f := range all {
 			if r, _ := f.Reachability(); len(r.Members) != members || !r.HasQuorum {
@@ -54,10 +54,10 @@
 // Over real sockets: all meet in one view; parts of a fleet that is cut know which they are, and what each takes of the
 // whole never adds up to more than all but what is safe; an instance that is closed is out and its part taken over;
 // healed, all are one again.
-func TestViews(t *testing.T) {
+func TestViewFollowsPartitionsAndDepartures(t *testing.T) {
 	t.Parallel()
-	all, links := viewing(t, 5)
-	lbtest.Until(t, "all are in one view", inView(all, 5))
+	all, links := startFleetWithViews(t, 5)
+	lbtest.Until(t, "all are in one view", haveViewOf(all, 5))
 	for i, f := range all {
 		lbtest.Until(t, "shares", func() bool { return f.Quota() == Quota{Instances: 5, Index: i} })
 	}
@@ -74,11 +74,11 @@
 		t.Errorf("the smaller part counts %d", n)
 	}
 	links.Heal()
-	lbtest.Until(t, "all are in one view again", inView(all, 5))
+	lbtest.Until(t, "all are in one view again", haveViewOf(all, 5))
 	all[4].Close()
-	lbtest.Until(t, "the one that ended is out", inView(all[:4], 4))
+	lbtest.Until(t, "the one that ended is out", haveViewOf(all[:4], 4))
 	all[3].Leave(time.Second)
-	lbtest.Until(t, "the one that left is out", inView(all[:3], 3))
+	lbtest.Until(t, "the one that left is out", haveViewOf(all[:3], 3))
 	for _, m := range all[0].Members() {
 		if want := map[string]string{"i3": "left", "i4": "dead"}[m.Name]; want != "" && m.State != want {
 			t.Errorf("%s is %s", m.Name, m.State)
@@ -87,23 +87,23 @@
 }
 
 // One that nobody hears, and one that hears nobody, are out and know it; no other is, then or when the way heals.
-func TestViewsOneWayPartition(t *testing.T) {
+func TestOneWayPartitionRemovesOnlyIsolatedMember(t *testing.T) {
 	t.Parallel()
 	for _, mute := range []bool{true, false} {
 		t.Run(fmt.Sprint(mute), func(t *testing.T) {
 			t.Parallel()
-			all, links := viewing(t, 5)
-			lbtest.Until(t, "all are in one view", inView(all, 5))
+			all, links := startFleetWithViews(t, 5)
+			lbtest.Until(t, "all are in one view", haveViewOf(all, 5))
 			if mute {
 				links.Sever([]int{4}, []int{0, 1, 2, 3})
 			} else {
 				links.Sever([]int{0, 1, 2, 3}, []int{4})
 			}
 			lbtest.Until(t, "it knows", func() bool { r, _ := all[4].Reachability(); return r.Isolated || r.Number == 0 })
-			lbtest.Until(t, "it is out", inView(all[:4], 4))
+			lbtest.Until(t, "it is out", haveViewOf(all[:4], 4))
 			before, _ := all[0].Reachability()
 			links.Heal()
-			lbtest.Until(t, "all are in one view again", inView(all, 5))
+			lbtest.Until(t, "all are in one view again", haveViewOf(all, 5))
 			if after, _ := all[0].Reachability(); after.Number != before.Number+1 || !slices.Equal(after.Members, []string{"i0", "i1", "i2", "i3", "i4"}) {
 				t.Errorf("view %d after view %d: somebody else was out meanwhile", after.Number, before.Number)
 			}
@@ -113,13 +113,13 @@
 
 // Some accuse another again and again, to all, whatever they hear: one alone, and as many as most of its observers are. Nobody
 // is out for it: who hears a member that is to go agrees to no view without it.
-func TestViewsFalseSuspicions(t *testing.T) {
+func TestFalseSuspicionsRemoveNoMember(t *testing.T) {
 	t.Parallel()
 	for _, liars := range []int{1, 3} {
 		t.Run(fmt.Sprint(liars), func(t *testing.T) {
 			t.Parallel()
-			all, _ := viewing(t, 5)
-			lbtest.Until(t, "all are in one view", inView(all, 5))
+			all, _ := startFleetWithViews(t, 5)
+			lbtest.Until(t, "all are in one view", haveViewOf(all, 5))
 			before, _ := all[0].Reachability()
 			stop := make(chan struct{})
 			var lying sync.WaitGroup
@@ -151,7 +151,7 @@
 			time.Sleep(2 * time.Second) // ten beats
 			close(stop)
 			lying.Wait()
-			lbtest.Until(t, "all are in one view again", inView(all, 5))
+			lbtest.Until(t, "all are in one view again", haveViewOf(all, 5))
 			after, _ := all[1].Reachability()
 			if after.Number != before.Number {
 				t.Errorf("view %d after view %d", after.Number, before.Number)
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -52,8 +52,8 @@
 	maxPartKeys  = 400 // some 40 KB
 )
 
-// handle encodes structs as arrays.
-var handle = func() *codec.MsgpackHandle {
+// msgpackHandle encodes structs as arrays.
+var msgpackHandle = func() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.StructToArray = true
 	h.WriteExt = true
@@ -62,7 +62,7 @@
 
 func encode(p *packet) ([]byte, error) {
 	var encoded []byte
-	err := codec.NewEncoderBytes(&encoded, handle).Encode(p)
+	err := codec.NewEncoderBytes(&encoded, msgpackHandle).Encode(p)
 	return encoded, err
 }
 
@@ -74,7 +74,7 @@
 		}
 	}()
 	p = &packet{}
-	if err := codec.NewDecoderBytes(encoded, handle).Decode(p); err != nil {
+	if err := codec.NewDecoderBytes(encoded, msgpackHandle).Decode(p); err != nil {
 		return nil, fmt.Errorf("fleet: unreadable packet: %w", err)
 	}
 	if p.From == "" || len(p.From) > maxNameBytes || len(p.Items) > maxItems {
@@ -90,7 +90,7 @@
 
 // check returns an error for a message that no instance sends.
 func (i *item) check() error {
-	if i.countParts() != 1 {
+	if i.countSetFields() != 1 {
 		return errors.New("fleet: a message without exactly one part")
 	}
 	switch {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func (i *item) countParts() int {
+func (i *item) countSetFields() int {
 	count := 0
 	for _, isSet := range []bool{
 		i.Proposal != nil, i.Response != nil, i.Release != nil, i.SnapshotRequest != 0, i.SnapshotPart != nil, i.Membership != nil, i.Gossip != nil,
