--- a/internal/fleet/appliedversions.go
+++ b/internal/fleet/appliedversions.go
@@ -16,35 +16,36 @@
 	"silvertrail/internal/fleet/versionlag"
 )
 
-// appliedVersions is the host of packages version, gossip and versionlag: it holds the versions that this instance applies,
-// those that the others report, and who is lagging.
+// appliedVersions connects the packages version, gossip and versionlag to the network and the clock. It holds the versions
+// that this instance applies, the versions that other members report, and the state of each member.
 type appliedVersions struct {
 	fleet *Fleet
 
 	mu                      sync.Mutex // guards the fields below
 	core                    *gossip.Core
 	lag                     *versionlag.Detector
-	vector                  version.Vector // as announced last, or to be announced next
+	vector                  version.Vector // the vector announced last, or to be announced next
 	announcedAt             time.Time
-	hasReported             bool                        // the gateway has reported what it applies
-	configurationUnnumbered bool                        // the configuration has no number yet
-	addresses               map[string]string           // of the members of the view
-	states                  map[string]versionlag.State // as logged last
-	stateSince              map[string]time.Time
+	hasReported             bool                        // the gateway has reported the versions that it applies
+	configurationUnnumbered bool                        // the configuration has no version number yet
+	addresses               map[string]string           // of the members of the view, by name
+	states                  map[string]versionlag.State // by member, as logged last
+	stateSince              map[string]time.Time        // by member, when the state was logged
 }
 
 const (
-	// settleDelay is how long changes are combined before they are announced: a reload changes several things, and lists change
-	// often.
+	// settleDelay is the shortest time between two announcements. It combines changes: a reload changes several versions, and
+	// endpoint lists change often.
 	settleDelay = 200 * time.Millisecond
-	// maxReportAge and maxReportAgePerMember bound the age of a current report: digests are exchanged in turn.
+	// maxReportAge and maxReportAgePerMember bound the age of a report that counts as current. The bound grows with the number
+	// of members, because digests are exchanged with one member after the other.
 	maxReportAge          = 10 * time.Second
 	maxReportAgePerMember = 100 * time.Millisecond
-	// evaluationTicks is how many ticks lie between two evaluations of all members.
+	// evaluationTicks is the number of ticks between two evaluations of all members.
 	evaluationTicks = 4
-	// maxDescriptionBytes bounds the descriptions in a vector.
+	// maxDescriptionBytes bounds each description in a vector.
 	maxDescriptionBytes = 200
-	// keyFingerprintBytes is how much of a key's fingerprint goes into the version of the keyring.
+	// keyFingerprintBytes is the length of each key's fingerprint in the version of the keyring.
 	keyFingerprintBytes = 8
 	// keyFingerprintLabel is the message whose HMAC identifies a key.
 	keyFingerprintLabel = "silvertrail: which key"
@@ -66,7 +67,7 @@
 	return a
 }
 
-// buildDescription identifies the program.
+// buildDescription returns the Go version, the module version, the VCS revision and the build tags of this program.
 func buildDescription() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -81,8 +82,8 @@
 	return description
 }
 
-// setOwnEntries sets the entries of this instance's voters and keyring. A key is identified by a fingerprint, which tells nothing about
-// the key.
+// setOwnEntries sets the entries of this instance's voters and keyring. A key is identified by a fingerprint, which reveals
+// nothing about the key.
 func (a *appliedVersions) setOwnEntries(o Options) {
 	var fingerprints []byte
 	for _, key := range o.Keyring {
@@ -99,7 +100,7 @@
 
 func truncateDescription(s string) string { return s[:min(len(s), maxDescriptionBytes)] }
 
-// setEntry changes one entry of the vector, which remembers the version that it replaces. The caller holds the lock.
+// setEntry sets one entry of the vector. The entry records the version that it replaces. The caller holds the lock.
 func (a *appliedVersions) setEntry(e version.Entry) {
 	if current, ok := a.vector.Find(e.Kind, e.Name); ok {
 		if current.Hash == e.Hash {
@@ -110,8 +111,8 @@
 	a.vector = a.vector.With(e)
 }
 
-// updateEntries sets the entries of what this instance applies, except those that the fleet knows itself. The caller holds the
-// lock.
+// updateEntries sets the entries returned by Options.AppliedVersions. The entries of the build, the voters and the keyring are
+// set elsewhere in this file. The caller holds the lock.
 func (a *appliedVersions) updateEntries(entries []version.Entry) {
 	if len(entries) == 0 {
 		return
@@ -127,8 +128,8 @@
 	a.dropTransient(entries)
 }
 
-// setConfiguration sets the entry of the configuration. It gets a number at once, unless this process has not received the
-// entries of enough others yet: the configuration may have a number already.
+// setConfiguration sets the entry of the configuration. A changed configuration gets a number at once. The configuration that
+// the process started with gets its number later, in assignNumber: other members may already have a number for it.
 func (a *appliedVersions) setConfiguration(e version.Entry) {
 	current, ok := a.vector.Find(e.Kind, e.Name)
 	if ok && current.Hash == e.Hash {
@@ -142,7 +143,7 @@
 	a.vector = a.vector.With(e)
 }
 
-// dropTransient removes the transient entries that are not among the current ones.
+// dropTransient removes the transient entries that are missing from the current entries. The caller holds the lock.
 func (a *appliedVersions) dropTransient(current []version.Entry) {
 	type entryKey struct {
 		kind version.Kind
@@ -159,7 +160,7 @@
 	}
 }
 
-// run advances the clock of the core until the instance ends.
+// run ticks the core until the instance is closed.
 func (a *appliedVersions) run() {
 	ticker := time.NewTicker(gossip.TickInterval)
 	defer ticker.Stop()
@@ -174,7 +175,7 @@
 	}
 }
 
-// tick updates what this instance applies, and returns the messages to send.
+// tick updates the versions that this instance applies, ticks the core, and returns the messages to send.
 func (a *appliedVersions) tick(ticks int) []gossip.Envelope {
 	var applied []version.Entry
 	if a.fleet.options.AppliedVersions != nil {
@@ -193,7 +194,7 @@
 	return outgoing
 }
 
-// announce announces the vector where it has changed. The caller holds the lock.
+// announce announces the vector if it has changed since the last announcement. The caller holds the lock.
 func (a *appliedVersions) announce(now time.Time) {
 	if !a.hasReported || now.Sub(a.announcedAt) < settleDelay {
 		return
@@ -207,8 +208,8 @@
 	a.logChanges(before.Vector)
 }
 
-// updateMembers sets the members from the view in force. Without a quorum they stay as they are: there is nobody to ask who
-// would know better.
+// updateMembers sets the members from the installed view. Without a quorum they stay as they are, because no majority is
+// reachable that could confirm the view.
 func (a *appliedVersions) updateMembers() {
 	view := a.fleet.membership.confirmedView()
 	if view == nil {
@@ -223,7 +224,7 @@
 	a.core.SetMembers(memberNames(view))
 }
 
-// confirmedView returns the view in force if a majority has been reachable lately, else nil.
+// confirmedView returns the installed view if a majority has been reachable recently, else nil.
 func (h *membershipHost) confirmedView() *membership.View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -233,8 +234,8 @@
 	return h.core.View()
 }
 
-// assignNumber gives the configuration that this process started with its number, once the states of a majority of the view
-// are known. The caller holds the lock.
+// assignNumber assigns a number to the configuration that this process started with. It waits until the versions applied by
+// a majority of the view are known. The caller holds the lock.
 func (a *appliedVersions) assignNumber() {
 	if !a.configurationUnnumbered || !a.hasReported || len(a.addresses) == 0 {
 		return
@@ -253,7 +254,7 @@
 	a.vector = a.vector.With(version.AssignNumber(e.Kind, e.Name, e.Hash, e.Description, a.core.Entries(e.Kind, e.Name)))
 }
 
-// logChanges logs the versions that this instance applies from now on. The caller holds the lock.
+// logChanges logs the versions that this instance has started or stopped applying. The caller holds the lock.
 func (a *appliedVersions) logChanges(before version.Vector) {
 	log := a.fleet.log
 	digest := a.core.Self().VectorHash.String()
@@ -270,7 +271,7 @@
 	}
 }
 
-// receive handles a message of another member.
+// receive handles a message from another member.
 func (a *appliedVersions) receive(from string, m *gossip.Message) {
 	a.mu.Lock()
 	a.core.Receive(a.fleet.membership.now(), from, m)
@@ -315,7 +316,7 @@
 	return statuses
 }
 
-// logStates logs the members whose state has changed, and forgets those that are out. The caller holds the lock.
+// logStates logs the members whose state has changed, and forgets those that have left the view. The caller holds the lock.
 func (a *appliedVersions) logStates(statuses []versionlag.Status) {
 	for _, s := range statuses {
 		if previous, known := a.states[s.Member]; known && previous == s.State {
@@ -332,7 +333,7 @@
 	}
 }
 
-// describe names the first finding that a state comes from.
+// describe returns the first finding with the state of the member, or an empty text if there is none.
 func describe(s versionlag.Status) string {
 	for _, f := range s.Findings {
 		if f.State == s.State {
@@ -342,23 +343,23 @@
 	return ""
 }
 
-// VersionsView is what an instance knows of the versions that all members apply.
+// VersionsView describes the versions that all members apply, as far as this instance knows them.
 type VersionsView struct {
-	AllCurrent bool                 `json:"in_step"` // all members of the view
+	AllCurrent bool                 `json:"in_step"` // each member of the view has the state Current
 	Self       string               `json:"me"`
 	VectorHash version.Hash         `json:"digest"` // of this instance
 	Members    []MemberVersionsView `json:"members"`
 }
 
-// MemberVersionsView is the state of a member, and since when it is known.
+// MemberVersionsView is the version status of one member.
 type MemberVersionsView struct {
 	versionlag.Status
-	Since     time.Time `json:"since"`
-	AppliedAt time.Time `json:"taken,omitzero"` // of its vector, by its own clock
+	Since     time.Time `json:"since"`          // when this instance logged the state
+	AppliedAt time.Time `json:"taken,omitzero"` // when the member applied its vector, by the member's clock
 }
 
-// Versions returns the versions that all members apply, as far as this instance knows; ok is false where versions are not
-// exchanged.
+// Versions returns the versions that all members apply, as far as this instance knows them; ok is false if members do not
+// exchange versions.
 func (f *Fleet) Versions() (v VersionsView, ok bool) {
 	a := f.applied
 	if a == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet runs several instances as one: it determines which instances there are, how they divide limits among
+// Package fleet coordinates several instances: it determines which instances there are, how they divide limits among
 // themselves, and which group of endpoints owns an idempotency key.
 //
-// It is the host of the packages membership, ownership, partition, gossip and versionlag, which decide without I/O: it
-// carries their messages over memberlist (SWIM: Das, Gupta and Motivala, DSN 2002), which encrypts them. A Fleet owns its
-// sockets, one goroutine for each host of these packages, and one for each member that messages are being sent to; Close
-// ends them all.
+// The packages membership, ownership, partition, gossip and versionlag make the decisions and do no I/O. Package fleet gives
+// them the time, and carries their messages over memberlist (SWIM: Das, Gupta and Motivala, DSN 2002), which encrypts them.
+// A Fleet owns its sockets, the goroutines that run these packages, and one goroutine for each member that messages are being
+// sent to. Close ends them all.
 package fleet
 
 import (
@@ -30,37 +30,39 @@
 	FleetName      string
 	Name           string // of this instance
 	Listen         string
-	Advertise      string // the address for other instances; empty: Listen
+	Advertise      string // the address at which other instances reach this one; empty: Listen
 	Seeds          []string
 	Keyring        [][]byte      // of 32 bytes each; the first one encrypts
-	Voters         []string      // names of the instances that vote on keys; empty: keys are owned by this instance alone
-	MaxMembers     int           // of the fleet
-	MaxKeys        int           // that a voter remembers
-	NewFleet       bool          // nothing of the fleet ran before: its voters need not abstain at first
-	Views          bool          // package membership decides who is a member, and memberlist only carries messages
-	Versions       bool          // members exchange which versions they apply; only with Views
+	Voters         []string      // names of the instances that vote on key ownership; empty: each instance decides alone
+	MaxMembers     int           // the most members of the fleet
+	MaxKeys        int           // the most keys that a voter remembers
+	NewFleet       bool          // no instance of the fleet ran before, so its voters need not abstain at the start
+	Views          bool          // package membership decides which instances are members, and memberlist only carries messages
+	Versions       bool          // members exchange the versions that they apply; requires Views
 	RolloutTimeout time.Duration // how long adopting a version may take before a member counts as lagging
 
 	MaxDeadline  time.Duration // the longest deadline of a keyed class
-	KeyRetention time.Duration // the longest time for which anything is remembered of an attempt
+	KeyRetention time.Duration // the longest time for which the state of an attempt's key is kept
 
 	ProbeInterval time.Duration // between two probes of a member; zero: one second
 	Log           *slog.Logger
 	// OnQuotaChange is called when this instance's part of the limits changes. It must not block.
 	OnQuotaChange func(Quota)
-	// AppliedVersions returns what this instance applies, except what the fleet knows itself; nil: it applies nothing yet. It
-	// is called a few times a second where versions are exchanged, one call at a time, and must not block.
+	// AppliedVersions returns the versions that this instance applies, except those of its build, voters and keyring, which
+	// the fleet adds. No versions are announced while it is nil or has returned none. With Versions set, it is called a few
+	// times a second, one call at a time. It must not block.
 	AppliedVersions func() []version.Entry
 	// Transport carries the packets; nil: UDP and TCP on Listen.
 	Transport memberlist.NodeAwareTransport
 }
 
 const (
-	// lostMemberHold is how long a lost member's part is reserved: at least until its suspicion has spread.
+	// lostMemberHold is the shortest time for which the quota of a lost member stays reserved. It covers the time in which the
+	// suspicion of the member spreads.
 	lostMemberHold = 15 * time.Second
-	// rejoinInterval is how often an instance that reaches nobody contacts its seeds, on average.
+	// rejoinInterval is the average time between two attempts to reach a seed, while no other member is known.
 	rejoinInterval = 2 * time.Second
-	// handoffQueueDepth bounds the packets received and not handled yet.
+	// handoffQueueDepth bounds the packets that are received and not handled yet.
 	handoffQueueDepth = 8192
 	// deadNodeReclaimTime is how long a dead member's name is reserved for its address.
 	deadNodeReclaimTime = time.Second
@@ -72,7 +74,7 @@
 type Fleet struct {
 	options    Options
 	log        *slog.Logger
-	process    uint64 // the incarnation: drawn at the start, so that a restarted instance is another one
+	process    uint64 // the incarnation, drawn at random at the start: it differs after a restart
 	keyring    *memberlist.Keyring
 	memberlist *memberlist.Memberlist
 	started    chan struct{} // closed when memberlist is set
@@ -93,7 +95,7 @@
 	keyOwnership
 }
 
-// Start starts an instance and joins its fleet. Seeds that cannot be reached are contacted again for as long as it runs.
+// Start starts an instance, which joins its fleet in the background. If no seed is reachable, it keeps trying until Close.
 func Start(o Options) (*Fleet, error) {
 	f := &Fleet{
 		options: o,
@@ -139,7 +141,7 @@
 	var err error
 	if o.Advertise != "" {
 		if c.AdvertiseAddr, c.AdvertisePort, err = splitAddress(o.Advertise); err != nil {
-			return nil, fmt.Errorf("fleet: advertise: %w", err)
+			return nil, fmt.Errorf("fleet: invalid advertise address: %w", err)
 		}
 	}
 	if err = checkKeys(o.Keyring); err != nil {
@@ -174,7 +176,7 @@
 	}
 	list, err := memberlist.Create(c)
 	if err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("fleet: starting memberlist: %w", err)
 	}
 	f.memberlist = list
 	return nil
@@ -223,8 +225,8 @@
 	}
 }
 
-// Update applies the keyring and the voters of new options. Other changes wait for a restart, and the log says so. After an
-// error nothing has changed.
+// Update applies the keyring and the voters of new options. Other changes take effect after a restart, and a warning is logged
+// for them. If Update returns an error, nothing has changed.
 func (f *Fleet) Update(o Options) error {
 	if err := checkKeys(o.Keyring); err != nil {
 		return err
@@ -239,12 +241,12 @@
 		f.applied.setOwnEntries(o)
 	}
 	if f.needsRestart(o) {
-		f.log.Warn("restart needed for the rest of the fleet block, and for keyed classes with longer times")
+		f.log.Warn("restart needed for the rest of the fleet block and for longer times of keyed classes")
 	}
 	return nil
 }
 
-// needsRestart reports whether options have changed that a running instance cannot apply.
+// needsRestart reports whether the new options differ in settings that a running instance cannot change.
 func (f *Fleet) needsRestart(o Options) bool {
 	current := &f.options
 	switch {
@@ -259,42 +261,42 @@
 // checkKeys returns an error for an invalid keyring.
 func checkKeys(keys [][]byte) error {
 	if len(keys) == 0 {
-		return errors.New("fleet: no key: packets are always encrypted")
+		return errors.New("fleet: empty keyring: at least one key is required, as packets are always encrypted")
 	}
 	for _, key := range keys {
 		if err := memberlist.ValidateKey(key); err != nil {
-			return fmt.Errorf("fleet: key: %w", err)
+			return fmt.Errorf("fleet: invalid key in the keyring: %w", err)
 		}
 	}
 	return nil
 }
 
-// RotateKeys sets a new keyring. To replace a key without an interruption, the new key is first added behind the old one on
-// all instances, then put before it, and then the old one is removed.
+// RotateKeys sets a new keyring, whose first key encrypts. To replace a key without an interruption, add the new key after the
+// old key on all instances, then put it before the old key, and then remove the old key.
 func (f *Fleet) RotateKeys(keys [][]byte) error {
 	if err := checkKeys(keys); err != nil {
 		return err
 	}
 	for _, key := range keys {
 		if err := f.keyring.AddKey(key); err != nil {
-			return fmt.Errorf("fleet: key: %w", err)
+			return fmt.Errorf("fleet: adding a key: %w", err)
 		}
 	}
 	if err := f.keyring.UseKey(keys[0]); err != nil {
-		return fmt.Errorf("fleet: key: %w", err)
+		return fmt.Errorf("fleet: setting the primary key: %w", err)
 	}
 	for _, key := range f.keyring.GetKeys() {
 		if slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, key) }) {
 			continue
 		}
 		if err := f.keyring.RemoveKey(key); err != nil {
-			return fmt.Errorf("fleet: key: %w", err)
+			return fmt.Errorf("fleet: removing a key: %w", err)
 		}
 	}
 	return nil
 }
 
-// Leave announces that this instance leaves, and closes it. It returns within the timeout.
+// Leave announces that this instance leaves the fleet, and closes it. It waits at most for the timeout.
 func (f *Fleet) Leave(timeout time.Duration) {
 	defer f.Close()
 	if f.membership != nil {
@@ -314,7 +316,7 @@
 	}
 }
 
-// Close ends the instance at once: the others see it as lost.
+// Close ends the instance at once and without an announcement: the other instances see it as lost.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if f.isClosed() {
@@ -332,7 +334,7 @@
 	f.goroutines.Wait()
 }
 
-// isClosed reports whether the instance has ended.
+// isClosed reports whether the instance is closed.
 func (f *Fleet) isClosed() bool {
 	select {
 	case <-f.closed:
--- a/internal/fleet/keyownership.go
+++ b/internal/fleet/keyownership.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	claimTimeout          = 500 * time.Millisecond // for the voters, at most; half of the time left where that is less
-	unresponsiveTimeout   = 80 * time.Millisecond  // where most voters have not responded lately
-	proposalRetryInterval = 40 * time.Millisecond  // to voters that have not responded
+	claimTimeout          = 500 * time.Millisecond // for the voters' responses, but at most half of the proposal's TTL
+	unresponsiveTimeout   = 80 * time.Millisecond  // for the voters' responses, if no majority of the voters has responded recently
+	proposalRetryInterval = 40 * time.Millisecond  // between two sends to voters that have not responded
 )
 
-// keyOwnership is the host of package ownership: it holds this instance's voter, and the claims that are in progress.
+// keyOwnership connects package ownership to the network. It holds this instance's voter and the claims in progress.
 type keyOwnership struct {
 	fleet *Fleet
 
 	voterMu   sync.Mutex                   // guards voter and snapshots
-	voter     *ownership.Voter             // on every instance: a reload may make it one of the voters
-	snapshots map[string]*incomingSnapshot // by voter
+	voter     *ownership.Voter             // present on every instance, because a reload may make the instance a voter
+	snapshots map[string]*incomingSnapshot // by the voter that sends them
 
 	claimsMu          sync.Mutex // guards the fields below
 	responses         ownership.ResponseTracker
@@ -36,7 +36,7 @@
 type claim struct {
 	proposer        *ownership.Proposer
 	voters          []string
-	rounds          int           // how often the proposal was sent
+	rounds          int           // number of times that the proposal was sent
 	responseArrived chan struct{} // holds a token when a response has arrived
 }
 
@@ -52,7 +52,7 @@
 	k.voter = ownership.NewVoter(now, ownership.VoterOptions{MaxKeys: o.MaxKeys, AbstainFor: abstainFor, MaxProposalTTL: o.MaxDeadline})
 }
 
-// NextAttemptID returns an ID for the proposals of a request that no other request has.
+// NextAttemptID returns a unique ID for the proposals of one request.
 func (k *keyOwnership) NextAttemptID() ownership.AttemptID {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
@@ -60,13 +60,13 @@
 	return ownership.AttemptID{Process: k.fleet.process, Number: k.lastAttemptNumber}
 }
 
-// ClaimKey has the voters agree that the attempts of a key go to a place. It returns when that is certain one way or the other,
-// or Unknown when ctx ends or the time for it is over.
+// ClaimKey asks the voters to agree that the attempts of a key go to one place. It returns once the result is final. It returns
+// Unknown if ctx ends, the claim times out or the instance is closed before.
 func (k *keyOwnership) ClaimKey(ctx context.Context, p ownership.Proposal) (ownership.State, idempotency.KeyState) {
 	now := time.Now()
 	voters := k.fleet.voterNames()
 	if k.fleet.membership != nil && k.fleet.membership.isMinorityPartition(voters) {
-		return ownership.Unknown, idempotency.KeyState{} // no majority can agree: the request does not wait, nor count as in flight
+		return ownership.Unknown, idempotency.KeyState{} // no majority is reachable: the request neither waits nor counts as in flight
 	}
 	c := &claim{proposer: ownership.NewProposer(now, p, len(voters)), voters: voters, responseArrived: make(chan struct{}, 1)}
 	timeout := k.addClaim(now, p, c)
@@ -77,9 +77,9 @@
 	defer retry.Stop()
 	for {
 		k.sendProposal(c)
-		state, past := k.awaitResponses(ctx, c, retry.C)
+		state, keyState := k.awaitResponses(ctx, c, retry.C)
 		if state != ownership.Pending {
-			return state, past
+			return state, keyState
 		}
 	}
 }
@@ -87,8 +87,8 @@
 // awaitResponses returns the state of a claim once it is final, or Pending when the proposal is due to be sent again.
 func (k *keyOwnership) awaitResponses(ctx context.Context, c *claim, retry <-chan time.Time) (ownership.State, idempotency.KeyState) {
 	for {
-		if state, past := k.claimState(c); state != ownership.Pending {
-			return state, past
+		if state, keyState := k.claimState(c); state != ownership.Pending {
+			return state, keyState
 		}
 		select {
 		case <-c.responseArrived:
@@ -116,7 +116,7 @@
 	return k.responses.Timeout(now, c.voters, min(claimTimeout, p.TTL/2), unresponsiveTimeout)
 }
 
-// removeClaim forgets a claim, unless another one of the attempt has replaced it.
+// removeClaim forgets a claim, unless a later claim of the same attempt has replaced it.
 func (k *keyOwnership) removeClaim(id ownership.AttemptID, c *claim) {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
@@ -125,8 +125,8 @@
 	}
 }
 
-// sendProposal sends a proposal to the voters that have not responded. Voters that are known to be unreachable get it from the
-// second round on.
+// sendProposal sends a proposal to the voters that have not responded. Voters that are known to be unreachable receive it from
+// the second round on.
 func (k *keyOwnership) sendProposal(c *claim) {
 	var deferred map[string]bool
 	if k.fleet.membership != nil && c.rounds == 0 {
@@ -145,7 +145,7 @@
 	}
 }
 
-// nextRound returns the proposal and the voters to send it to, and records that it is sent.
+// nextRound returns the proposal and its recipients, and records that it is sent to them.
 func (k *keyOwnership) nextRound(c *claim, deferred map[string]bool) (proposal ownership.Proposal, recipients []string) {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// Release tells the voters that a request has ended. Where the message is lost, the key is only held for longer.
+// Release tells the voters that a request has ended. If a message is lost, the voter only holds the key for longer.
 func (f *Fleet) Release(r ownership.Release) {
 	for _, name := range f.voterNames() {
 		if name != f.options.Name {
@@ -203,9 +203,9 @@
 	}
 }
 
-// VoterKeyState returns what this instance's voter knows of a key, and how long it still abstains; ok is false where the
-// instance is no voter.
-func (k *keyOwnership) VoterKeyState(key idempotency.KeyID, scope lbpolicy.Scope) (past idempotency.KeyState, abstainsFor time.Duration, ok bool) {
+// VoterKeyState returns the state of a key in this instance's voter, and for how long the voter still abstains; ok is false if
+// the instance is not a voter.
+func (k *keyOwnership) VoterKeyState(key idempotency.KeyID, scope lbpolicy.Scope) (keyState idempotency.KeyState, abstainsFor time.Duration, ok bool) {
 	isVoter := slices.Contains(k.fleet.voterNames(), k.fleet.options.Name)
 	k.voterMu.Lock()
 	defer k.voterMu.Unlock()
@@ -213,7 +213,7 @@
 	return k.voter.KeyState(now, key, scope), max(k.voter.AbstainsUntil().Sub(now), 0), isVoter
 }
 
-// HasVoters reports whether there are voters, so that keys are owned across the fleet.
+// HasVoters reports whether voters are configured, so that key ownership holds across the fleet.
 func (f *Fleet) HasVoters() bool { return len(f.voterNames()) > 0 }
 
 func (f *Fleet) voterNames() []string {
@@ -222,8 +222,9 @@
 	return f.voters
 }
 
-// ReconfigureVoters sets a new list of voters. It is rejected where the majorities of the old and the new list need not share
-// a voter, and while something may be remembered that was granted under the list before the old one.
+// ReconfigureVoters sets a new list of voters. The change is rejected if some majority of the old list shares no voter with some
+// majority of the new list. It is also rejected until KeyRetention has passed since the last change: keys that were granted
+// under the list before that may still be held.
 func (f *Fleet) ReconfigureVoters(voters []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -233,9 +234,9 @@
 	case slices.Equal(voters, f.voters):
 		return nil
 	case !ownership.CanReconfigure(f.voters, voters):
-		return fmt.Errorf("fleet: the voters %q can't follow %q at once: add or take away one at a time", voters, f.voters)
+		return fmt.Errorf("fleet: voters %q cannot replace %q in one step: add or remove one voter at a time", voters, f.voters)
 	case now.Before(f.votersChangedAt.Add(retention)):
-		return fmt.Errorf("fleet: the voters were changed %v ago; the next change can come %v after that",
+		return fmt.Errorf("fleet: voters were last changed %v ago: the next change is allowed %v after the last one",
 			now.Sub(f.votersChangedAt).Round(time.Second), retention)
 	}
 	f.voters, f.votersChangedAt = voters, now
@@ -244,7 +245,7 @@
 	return nil
 }
 
-// retainVoters forgets the responses due from instances that are no voters any more.
+// retainVoters forgets the responses that are pending from instances that are no longer voters.
 func (k *keyOwnership) retainVoters(voters []string) {
 	names := make(map[string]bool, len(voters))
 	for _, name := range voters {
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -12,7 +12,7 @@
 	"silvertrail/internal/fleet/partition"
 )
 
-// node is another instance as it was last known.
+// node is the last known state of an instance.
 type node struct {
 	memberlist.Node
 	state          partition.State
@@ -30,11 +30,11 @@
 	Since           time.Time `json:"since"` // of the state
 	Voter           bool      `json:"voter"`
 	Self            bool      `json:"me"`
-	UnreachableFrom []string  `json:"by,omitempty"`   // with views: the members that do not reach it
-	LossRatio       float64   `json:"loss,omitempty"` // with views: of its heartbeats
+	UnreachableFrom []string  `json:"by,omitempty"`   // with views: the members that cannot reach it
+	LossRatio       float64   `json:"loss,omitempty"` // with views: share of its heartbeats that were lost
 }
 
-// Members returns the known members by name.
+// Members returns the known members, sorted by name.
 func (f *Fleet) Members() []Member {
 	if f.membership != nil {
 		return f.membership.members()
@@ -56,10 +56,10 @@
 	return members
 }
 
-// leavingMeta is the metadata of a member that leaves.
+// leavingMeta is the memberlist metadata of a member that is leaving.
 const leavingMeta = "leaving"
 
-// delegate is memberlist's view of the fleet. Memberlist calls it with its own locks held: none of its methods calls back.
+// delegate implements memberlist's callbacks. Memberlist holds its own locks during a call, so no method calls memberlist.
 type delegate struct{ *Fleet }
 
 // NodeMeta implements memberlist.Delegate.
@@ -93,7 +93,7 @@
 // NotifyLeave implements memberlist.EventDelegate.
 func (d delegate) NotifyLeave(n *memberlist.Node) { d.updateMember(n, partition.Dead) }
 
-// NotifyAlive implements memberlist.AliveDelegate. It rejects members over the bound.
+// NotifyAlive implements memberlist.AliveDelegate. It rejects invalid members, and new members beyond MaxMembers.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,25 +101,25 @@
 		return errors.New("fleet: invalid member name or metadata")
 	}
 	if d.nodes[n.Name] == nil && !d.hasRoom() {
-		return fmt.Errorf("fleet: over %d members", d.options.MaxMembers)
+		return fmt.Errorf("fleet: member rejected: the limit of %d members is reached", d.options.MaxMembers)
 	}
 	return nil
 }
 
-// NotifyMerge implements memberlist.MergeDelegate. It rejects a peer that announces more members than there may be.
+// NotifyMerge implements memberlist.MergeDelegate. It rejects a peer that announces more than MaxMembers members.
 func (d delegate) NotifyMerge(peers []*memberlist.Node) error {
 	if len(peers) > d.options.MaxMembers {
 		d.log.Warn("peer announces too many members", "members", len(peers), "most", d.options.MaxMembers)
-		return fmt.Errorf("fleet: %d members announced, over %d", len(peers), d.options.MaxMembers)
+		return fmt.Errorf("fleet: merge rejected: the peer announces %d members, the limit is %d", len(peers), d.options.MaxMembers)
 	}
 	return nil
 }
 
-// updateMember records what memberlist reports of a member.
+// updateMember records a member's state as memberlist reports it.
 func (f *Fleet) updateMember(m *memberlist.Node, state partition.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.options.Views || f.isClosed() { // what memberlist reports during the shutdown follows from the shutdown
+	if f.options.Views || f.isClosed() { // what memberlist reports during shutdown is an effect of the shutdown
 		return
 	}
 	now := time.Now()
@@ -146,12 +146,14 @@
 	f.updateQuota(now)
 }
 
-// hasRoom reports whether another member can be recorded, for which it may forget a lost one. The caller holds the lock.
+// hasRoom reports whether another member can be recorded. If the table is full, it first forgets a member that is not alive.
+// The caller holds the lock.
 func (f *Fleet) hasRoom() bool {
 	return len(f.nodes) < f.options.MaxMembers || f.forgetOldestLost()
 }
 
-// forgetOldestLost forgets the member that has been lost longest, if there is one. The caller holds the lock.
+// forgetOldestLost forgets the member that has been out of the state Alive for the longest time. It returns false if all members
+// are alive. The caller holds the lock.
 func (f *Fleet) forgetOldestLost() bool {
 	var oldest string
 	for name, n := range f.nodes {
--- a/internal/fleet/membershiphost.go
+++ b/internal/fleet/membershiphost.go
@@ -16,8 +16,9 @@
 	"silvertrail/internal/fleet/partition"
 )
 
-// membershipHost is the host of package membership: it passes it the time and messages, sends what it returns, and keeps
-// what the rest of the fleet reads in step with the view. Memberlist is left with packets, streams and encryption.
+// membershipHost connects package membership to the network and the clock. It passes the time and received messages to the core,
+// sends the messages that the core returns, and updates the addresses and the quota after each change of the view. Memberlist
+// only provides packets, streams and encryption.
 type membershipHost struct {
 	fleet    *Fleet
 	epoch    time.Time
@@ -30,16 +31,16 @@
 }
 
 const (
-	// minimalQuotaInstances is among how many instances one counts itself that must use almost nothing, as the others may have
-	// taken over its part.
+	// minimalQuotaInstances is the number of instances in a minimal quota. It reduces this instance's part to almost nothing,
+	// because the other instances may have taken over its part.
 	minimalQuotaInstances = 1 << 12
-	maxQueuedMessages     = 8192 // messages beyond it are dropped, as any may be lost
+	maxQueuedMessages     = 8192 // messages beyond it are dropped, which the protocol tolerates
 	maxDatagramBytes      = 1000 // longer messages are sent over a stream
-	// epochAge is the time on the clock of the core at the start, so that times before the start are representable.
+	// epochAge is the time on the core's clock at the start, so that times before the start are representable.
 	epochAge = time.Hour
 )
 
-// startMembership creates the host. The transport must be open.
+// startMembership creates the membership host. The transport must be open.
 func (f *Fleet) startMembership(c *memberlist.Config) error {
 	now := time.Now()
 	ip, port, err := c.Transport.FinalAdvertiseAddr(c.AdvertiseAddr, c.AdvertisePort)
@@ -69,10 +70,10 @@
 	return nil
 }
 
-// now returns the time on the clock of the core.
+// now returns the time on the core's clock.
 func (h *membershipHost) now() time.Duration { return time.Since(h.epoch) }
 
-// run advances the clock of the core until the instance ends.
+// run ticks the core until the instance is closed.
 func (h *membershipHost) run() {
 	ticker := time.NewTicker(h.core.TickInterval())
 	defer ticker.Stop()
@@ -86,12 +87,12 @@
 	}
 }
 
-// receive handles a message.
+// receive passes a message to the core.
 func (h *membershipHost) receive(m *membership.Message) {
 	h.update(func(now time.Duration) { h.core.Receive(now, m) })
 }
 
-// update calls the core, and handles what it returns.
+// update runs a call to the core, queues the messages that the core returns, and handles its changes.
 func (h *membershipHost) update(call func(now time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,7 +110,7 @@
 	h.updateQuota()
 }
 
-// handleChange logs a change, and has the members' addresses follow the view. The caller holds the lock.
+// handleChange logs a change, and updates the members' addresses after a new view. The caller holds the lock.
 func (h *membershipHost) handleChange(c membership.Change) {
 	log := h.fleet.log
 	switch {
@@ -119,7 +120,7 @@
 	case c.Removed:
 		log.Warn("removed from the view", "why", c.Reason)
 	case c.NameTaken:
-		log.Error("another process has this name in the fleet, and stays: give this one another name", "name", h.fleet.options.Name)
+		log.Error("instance name is in use by another process in the fleet: configure another name", "name", h.fleet.options.Name)
 	case c.Violation != "":
 		log.Error("membership invariant violated", "how", c.Violation)
 	default:
@@ -154,8 +155,8 @@
 	}
 }
 
-// updateAddresses records the addresses of the members of the view. Those of earlier members are kept for a while, as
-// exchanges with them go on.
+// updateAddresses records the addresses of the members of the view. The addresses of former members are kept until their room
+// is needed, because messages are still exchanged with them.
 func (f *Fleet) updateAddresses(view *membership.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,7 +169,7 @@
 	for _, m := range view.Members {
 		address, err := netip.ParseAddrPort(m.Address)
 		if err != nil {
-			f.log.Warn("member without a valid address", "name", m.Name, "address", m.Address)
+			f.log.Warn("invalid member address", "name", m.Name, "address", m.Address)
 			continue
 		}
 		n := f.nodes[m.Name]
@@ -188,7 +189,7 @@
 	return memberlist.Node{Name: name, Addr: address.Addr().AsSlice(), Port: address.Port()}
 }
 
-// sendLoop sends the messages of the core until the instance ends.
+// sendLoop sends the messages of the core until the instance is closed.
 func (h *membershipHost) sendLoop() {
 	if !h.fleet.awaitStart() {
 		return
@@ -203,7 +204,7 @@
 	}
 }
 
-// sendItem sends a message to an address, in a packet or, where it is long, over a stream.
+// sendItem sends a message to an address: in a packet if it has at most maxDatagramBytes, else over a stream.
 func (h *membershipHost) sendItem(name, address string, i item) {
 	f := h.fleet
 	encoded, err := f.encodePacket(i)
@@ -213,23 +214,23 @@
 	}
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return // addresses are checked where they come in; those of seeds by the configuration
+		return // not expected: addresses are validated when received, and seeds when the configuration is loaded
 	}
 	if len(encoded) <= maxDatagramBytes {
 		if err := f.memberlist.SendToAddress(memberlist.Address{Addr: address, Name: name}, encoded); err != nil {
-			f.log.Debug("packet lost", "to", address, "error", err)
+			f.log.Debug("packet not sent", "to", address, "error", err)
 		}
 		return
 	}
 	to := nodeAt(name, parsed)
 	f.goroutines.Go(func() {
 		if err := f.memberlist.SendReliable(&to, encoded); err != nil {
-			f.log.Debug("stream failed", "to", address, "error", err)
+			f.log.Debug("message not sent over a stream", "to", address, "error", err)
 		}
 	})
 }
 
-// leave announces the departure, and waits until the view does not hold this instance any more, or for the timeout.
+// leave announces the departure, and waits until no other member shares a view with this instance, or for the timeout.
 func (h *membershipHost) leave(timeout time.Duration) {
 	h.update(func(now time.Duration) { h.core.Leave(now) })
 	expired := time.After(timeout)
@@ -239,13 +240,13 @@
 		select {
 		case <-ticker.C:
 		case <-expired:
-			h.fleet.log.Info("departure not announced")
+			h.fleet.log.Info("departure not confirmed before the timeout")
 			return
 		}
 	}
 }
 
-// isAlone reports whether this instance is in no view, or in one without other members.
+// isAlone reports whether this instance has no view, or is the only member of its view.
 func (h *membershipHost) isAlone() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -253,8 +254,8 @@
 	return view == nil || len(view.Members) == 1
 }
 
-// isMinorityPartition reports whether this instance is isolated and reaches too few of the voters for any agreement. Voters in
-// the same part are reachable: then keys can be claimed there, whatever the view.
+// isMinorityPartition reports whether this instance is isolated and reaches no majority of the voters. An isolated instance that
+// still reaches a majority of the voters can claim keys, whatever its view.
 func (h *membershipHost) isMinorityPartition(voters []string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -270,7 +271,7 @@
 	return 2*reachable <= len(voters)
 }
 
-// unreachableVoters returns the voters that are not reachable, where the others are a majority.
+// unreachableVoters returns the unreachable voters, or nil if the reachable voters are not a majority.
 func (h *membershipHost) unreachableVoters(voters []string) map[string]bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -286,7 +287,7 @@
 	return unreachable
 }
 
-// members returns the members of the view, and those that have departed lately.
+// members returns the members of the view, and those that have departed recently.
 func (h *membershipHost) members() []Member {
 	voters := h.fleet.voterNames()
 	h.mu.Lock()
@@ -307,20 +308,20 @@
 	return members
 }
 
-// ReachabilityView is what an instance knows of the view, and of which members reach which.
+// ReachabilityView describes the view and which members reach each other, as far as this instance knows.
 type ReachabilityView struct {
 	Number      uint64                 `json:"view"`
 	Lineage     uint64                 `json:"lineage"`
 	Hash        uint64                 `json:"hash"`
 	Members     []string               `json:"members"`
-	HasQuorum   bool                   `json:"confirmed"` // a majority of the view has been reachable lately, in it
+	HasQuorum   bool                   `json:"confirmed"` // a majority of the members of this view has been reachable recently
 	Isolated    bool                   `json:"isolated"`
-	Unreachable map[string][]string    `json:"unheard"` // by member: whom it does not reach; a missing member has not reported
+	Unreachable map[string][]string    `json:"unheard"` // by member: the members that it does not reach; a missing member has not reported
 	Diagnoses   []membership.Diagnosis `json:"found"`
 }
 
-// Reachability returns the view and which members reach which, as far as this instance knows; ok is false for a fleet without
-// views.
+// Reachability returns the view and which members reach each other, as far as this instance knows; ok is false for a fleet
+// without views.
 func (f *Fleet) Reachability() (r ReachabilityView, ok bool) {
 	h := f.membership
 	if h == nil {
--- a/internal/fleet/outbox.go
+++ b/internal/fleet/outbox.go
@@ -4,18 +4,18 @@
 
 const (
 	maxOutboxItems = 4096
-	maxPacketItems = 12 // some 1,200 bytes, which is one packet on most links
+	maxPacketItems = 12 // about 1,200 bytes, which fits into one packet on most networks
 )
 
-// outbox holds the messages for one member. Several go in one packet where they are added faster than packets are sent. Messages
-// beyond the bound are dropped, as any may be lost on its way too. An empty outbox costs nothing: in a large fleet, few
-// members are ever sent something.
+// outbox queues the messages for one member. Messages that are added faster than packets are sent share a packet. Messages
+// beyond maxOutboxItems are dropped, which is tolerated, as the network may lose any message. An empty outbox holds no memory
+// and no goroutine, because in a large fleet few members are ever sent a message.
 type outbox struct {
 	items   []item
 	sending bool
 }
 
-// send adds messages for a member. Messages for an unknown member are dropped.
+// send queues messages for a member. Messages for an unknown member are dropped.
 func (f *Fleet) send(to string, items ...item) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// nextItems returns the next messages for a member and its address, or nothing once the outbox is empty.
+// nextItems returns the next messages for a member and its address, or no messages once the outbox is empty.
 func (f *Fleet) nextItems(name string) (items []item, to memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,7 +48,7 @@
 	return items, n.Node
 }
 
-// drainOutbox sends the messages for a member until none is left.
+// drainOutbox sends the messages for a member until its outbox is empty.
 func (f *Fleet) drainOutbox(name string) {
 	if !f.awaitStart() {
 		return
@@ -64,12 +64,12 @@
 			continue
 		}
 		if err := f.memberlist.SendBestEffort(&to, encoded); err != nil {
-			f.log.Debug("packet lost", "to", name, "error", err)
+			f.log.Debug("packet not sent", "to", name, "error", err)
 		}
 	}
 }
 
-// awaitStart waits until packets can be sent; false: the instance has ended.
+// awaitStart waits until packets can be sent. It returns false if the instance is closed before.
 func (f *Fleet) awaitStart() bool {
 	select {
 	case <-f.started:
@@ -79,12 +79,12 @@
 	}
 }
 
-// encodePacket returns a packet of this instance.
+// encodePacket returns an encoded packet from this instance.
 func (f *Fleet) encodePacket(items ...item) ([]byte, error) {
 	return encode(&packet{From: f.options.Name, Process: f.process, Items: items})
 }
 
-// handlePacket handles a packet of another instance.
+// handlePacket decodes a packet from another instance, handles its messages and sends the responses.
 func (f *Fleet) handlePacket(encoded []byte) {
 	p, err := decode(encoded)
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// handleItem handles one message, and returns the response to it if there is one.
+// handleItem handles one message; ok is true if there is a response to send.
 func (f *Fleet) handleItem(from string, i item) (response item, ok bool) {
 	switch {
 	case i.Proposal != nil:
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -4,8 +4,8 @@
 
 // Quota is this instance's part of the limits that the fleet shares.
 type Quota struct {
-	Instances int // that share the limits
-	Index     int // of this instance among them, from 0
+	Instances int // number of instances that share the limits
+	Index     int // position of this instance among them, from 0
 }
 
 // Quota returns this instance's part of the limits.
@@ -15,7 +15,8 @@
 	return f.quota
 }
 
-// updateQuota determines the quota without views, and again when time alone may change it. The caller holds the lock.
+// updateQuota sets the quota from the members that memberlist reports, for a fleet without views. It schedules the next update
+// for the time at which the quota may change without an event. The caller holds the lock.
 func (f *Fleet) updateQuota(now time.Time) {
 	instances, index, next := f.tracker.Partition(now)
 	if f.quotaTimer != nil {
@@ -32,7 +33,7 @@
 	f.setQuota(Quota{Instances: instances, Index: index})
 }
 
-// setQuota sets the quota, and reports a change. The caller holds the lock.
+// setQuota sets the quota. It logs a change and calls OnQuotaChange. The caller holds the lock.
 func (f *Fleet) setQuota(quota Quota) {
 	if quota == f.quota {
 		return
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -13,9 +13,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Transport carries a fleet's packets and streams over UDP and TCP on one port. It differs from memberlist's own transport
-// in its use of memory: that one allocates 64 KiB for each packet, which keeps the garbage collector busy most of the time at
-// some thousand packets a second. It owns both sockets and two goroutines; Shutdown ends them.
+// Transport carries a fleet's packets and streams over UDP and TCP on one port. It replaces memberlist's own transport, which
+// allocates 64 KiB for each packet: at some thousand packets a second, that keeps the garbage collector busy most of the time.
+// A Transport owns both sockets and two goroutines; Shutdown ends them.
 type Transport struct {
 	udp        *net.UDPConn
 	tcp        *net.TCPListener
@@ -27,13 +27,13 @@
 
 const (
 	maxPacketBytes    = 64 << 10
-	udpBufferBytes    = 1 << 20 // requested from the system, for bursts
+	udpBufferBytes    = 1 << 20 // requested from the system, to absorb bursts
 	packetQueueLength = 64
-	maxPortAttempts   = 10 // where the system picks the port, which may be free for only one of the two protocols
+	maxPortAttempts   = 10 // if the system picks the port: the port may be free for only one of the two protocols
 	acceptRetryDelay  = 20 * time.Millisecond
 )
 
-// Listen opens both sockets; port 0 takes a free port.
+// Listen opens a UDP and a TCP socket on the same address; port 0 takes a free port.
 func Listen(address string) (*Transport, error) {
 	requested, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -62,7 +62,7 @@
 		tcp.Close()
 		return nil, err
 	}
-	_ = udp.SetReadBuffer(udpBufferBytes) // as much as the system allows; with less, more packets are lost, which is tolerated
+	_ = udp.SetReadBuffer(udpBufferBytes) // the system may grant less: then more packets are lost, which is tolerated
 	t := &Transport{
 		udp:     udp,
 		tcp:     tcp,
@@ -75,7 +75,7 @@
 	return t, nil
 }
 
-// Addr returns the address that it listens on.
+// Addr returns the address that the transport listens on.
 func (t *Transport) Addr() string { return t.tcp.Addr().String() }
 
 func (t *Transport) readPackets() {
@@ -86,7 +86,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil || n == 0:
-			continue // an unreachable port, reported by ICMP
+			continue // ICMP reports an unreachable port as an error of the socket
 		}
 		packet := &memberlist.Packet{Buf: bytes.Clone(buffer[:n]), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}
 		select {
@@ -103,7 +103,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // the process is out of descriptors
+		case err != nil: // typically, the process is out of file descriptors
 			select {
 			case <-time.After(acceptRetryDelay):
 			case <-t.closed:
@@ -125,13 +125,13 @@
 	if ip != "" {
 		advertised, err := netip.ParseAddr(ip)
 		if err != nil {
-			return nil, 0, fmt.Errorf("fleet: advertise: %w", err)
+			return nil, 0, fmt.Errorf("fleet: invalid advertise address: %w", err)
 		}
 		return advertised.AsSlice(), port, nil
 	}
 	local := t.tcp.Addr().(*net.TCPAddr)
 	if local.IP.IsUnspecified() {
-		return nil, 0, errors.New("fleet: listening on all addresses needs an address to advertise")
+		return nil, 0, errors.New("fleet: an advertise address is required when listening on all addresses")
 	}
 	return local.IP, local.Port, nil
 }
@@ -140,7 +140,7 @@
 func (t *Transport) WriteTo(packet []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return time.Time{}, fmt.Errorf("fleet: packet: %w", err)
+		return time.Time{}, fmt.Errorf("fleet: invalid packet destination: %w", err)
 	}
 	_, err = t.udp.WriteToUDPAddrPort(packet, to)
 	return time.Now(), err
@@ -154,8 +154,8 @@
 // PacketCh implements memberlist.Transport.
 func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// DialTimeout implements memberlist.Transport. A stream comes from the same local address as packets, so that a host with
-// several addresses uses one of them for each member.
+// DialTimeout implements memberlist.Transport. It dials from the local address that packets are sent from, so that other members
+// see one address even if the host has several.
 func (t *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/fleet/voterrecovery.go
+++ b/internal/fleet/voterrecovery.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	recoveryInterval    = 500 * time.Millisecond // between two checks whether snapshots are needed, on average
-	snapshotPartTimeout = 3 * time.Second        // without a further part, a snapshot counts as broken off
-	snapshotInterval    = 400 * time.Millisecond // the shortest time between two snapshots for one member
+	recoveryInterval    = 500 * time.Millisecond // average time between two checks whether snapshots are needed
+	snapshotPartTimeout = 3 * time.Second        // a snapshot without a further part for this long counts as interrupted
+	snapshotInterval    = 400 * time.Millisecond // the shortest time between two snapshots sent to one member
 )
 
 // incomingSnapshot is a snapshot that is being received from one voter.
 type incomingSnapshot struct {
 	requestID  uint64
-	received   map[int]bool // parts
+	received   map[int]bool // by part number
 	progressAt time.Time    // when it was requested, or its last part arrived
 	complete   bool
 }
 
-// recoverVoter has this instance's voter, if it was restarted, learn from the others what it may have granted before.
+// recoverVoter requests snapshots from the other voters until this instance's voter no longer abstains. A restarted voter has
+// lost the grants of its earlier incarnation, which the snapshots restore.
 func (f *Fleet) recoverVoter() {
 	for {
 		select {
@@ -46,7 +47,7 @@
 	}
 }
 
-// requestSnapshots requests the snapshot of each voter that has sent none, or whose snapshot has broken off.
+// requestSnapshots requests a snapshot from each voter that has sent none, or whose snapshot was interrupted.
 func (f *Fleet) requestSnapshots(now time.Time) {
 	for _, name := range f.voterNames() {
 		if name == f.options.Name {
@@ -58,7 +59,7 @@
 	}
 }
 
-// beginSnapshot returns the ID of a new snapshot request, where one is needed.
+// beginSnapshot records a new snapshot request and returns its ID, if a request is needed.
 func (f *Fleet) beginSnapshot(now time.Time, voter string) (requestID uint64, needed bool) {
 	f.voterMu.Lock()
 	defer f.voterMu.Unlock()
@@ -70,7 +71,7 @@
 	return requestID, true
 }
 
-// handleSnapshotPart merges a part of a snapshot that was requested.
+// handleSnapshotPart merges a part of a requested snapshot.
 func (f *Fleet) handleSnapshotPart(from string, part *snapshotPart) {
 	voters := f.voterNames()
 	f.voterMu.Lock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// sendSnapshot sends all that this instance's voter knows, in parts.
+// sendSnapshot sends all keys of this instance's voter, in parts.
 func (f *Fleet) sendSnapshot(to string, requestID uint64) {
 	f.voterMu.Lock()
 	keys, ok := f.voter.Snapshot(time.Now())
@@ -107,7 +108,7 @@
 	f.sendSnapshotParts(to, requestID, parts)
 }
 
-// sendSnapshotParts sends the parts of a snapshot one after the other, over a stream for each.
+// sendSnapshotParts sends the parts of a snapshot one after the other, each over its own stream.
 func (f *Fleet) sendSnapshotParts(to string, requestID uint64, parts [][]ownership.KeyState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,7 +138,7 @@
 		err = f.memberlist.SendReliable(to, encoded)
 	}
 	if err != nil {
-		f.log.Info("snapshot broken off", "to", to.Name, "error", err)
+		f.log.Info("snapshot part not sent", "to", to.Name, "error", err)
 	}
 	return err == nil
 }
