--- a/internal/fleet/appliedversions.go
+++ b/internal/fleet/appliedversions.go
@@ -23,7 +23,7 @@
 
 	mu                      sync.Mutex // guards the fields below
 	core                    *gossip.Core
-	lag                     *versionlag.Detector
+	detector                *versionlag.Detector
 	vector                  version.Vector // the vector announced last, or to be announced next
 	announcedAt             time.Time
 	hasReported             bool                        // the gateway has reported the versions that it applies
@@ -34,9 +34,9 @@
 }
 
 const (
-	// settleDelay is the shortest time between two announcements. It combines changes: a reload changes several versions, and
-	// endpoint lists change often.
-	settleDelay = 200 * time.Millisecond
+	// minAnnounceInterval is the shortest time between two announcements. It combines changes: a reload changes several
+	// versions, and endpoint lists change often.
+	minAnnounceInterval = 200 * time.Millisecond
 	// maxReportAge and maxReportAgePerMember bound the age of a report that counts as current. The bound grows with the number
 	// of members, because digests are exchanged with one member after the other.
 	maxReportAge          = 10 * time.Second
@@ -56,7 +56,7 @@
 	a := &appliedVersions{
 		fleet:      f,
 		core:       gossip.New(f.options.Name, f.process, random),
-		lag:        versionlag.New(versionlag.Limits{RolloutTimeout: f.options.RolloutTimeout, MaxAge: maxReportAge}),
+		detector:   versionlag.New(versionlag.Limits{RolloutTimeout: f.options.RolloutTimeout, MaxAge: maxReportAge}),
 		addresses:  map[string]string{},
 		states:     map[string]versionlag.State{},
 		stateSince: map[string]time.Time{},
@@ -196,7 +196,7 @@
 
 // announce announces the vector if it has changed since the last announcement. The caller holds the lock.
 func (a *appliedVersions) announce(now time.Time) {
-	if !a.hasReported || now.Sub(a.announcedAt) < settleDelay {
+	if !a.hasReported || now.Sub(a.announcedAt) < minAnnounceInterval {
 		return
 	}
 	before := a.core.Self()
@@ -299,7 +299,7 @@
 	}
 	slices.Sort(names)
 	now := a.fleet.membership.now()
-	a.lag.SetLimits(versionlag.Limits{
+	a.detector.SetLimits(versionlag.Limits{
 		RolloutTimeout: a.fleet.options.RolloutTimeout,
 		MaxAge:         maxReportAge + time.Duration(len(names))*maxReportAgePerMember,
 	})
@@ -311,7 +311,7 @@
 		}
 		members = append(members, m)
 	}
-	statuses := a.lag.Evaluate(now, members)
+	statuses := a.detector.Evaluate(now, members)
 	a.logStates(statuses)
 	return statuses
 }
--- a/internal/fleet/membershiphost.go
+++ b/internal/fleet/membershiphost.go
@@ -24,10 +24,10 @@
 	epoch    time.Time
 	outgoing chan membership.Envelope
 
-	mu           sync.Mutex // guards the fields below
-	core         *membership.Core
-	stateSince   map[string]time.Time // by member
-	minimalQuota bool
+	mu              sync.Mutex // guards the fields below
+	core            *membership.Core
+	stateSince      map[string]time.Time // by member
+	hasMinimalQuota bool
 }
 
 const (
@@ -64,8 +64,8 @@
 			HeartbeatInterval: f.options.ProbeInterval / 2,
 			Rand:              rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		}),
-		stateSince:   map[string]time.Time{},
-		minimalQuota: true,
+		stateSince:      map[string]time.Time{},
+		hasMinimalQuota: true,
 	}
 	return nil
 }
@@ -144,8 +144,8 @@
 		quota.Members, quota.Index = minimalQuotaInstances, 0
 	}
 	f := h.fleet
-	if quota.Minimal != h.minimalQuota {
-		h.minimalQuota = quota.Minimal
+	if quota.Minimal != h.hasMinimalQuota {
+		h.hasMinimalQuota = quota.Minimal
 		f.log.Info("minimal quota changed", "safe", quota.Minimal)
 	}
 	f.mu.Lock()
