--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,7 +39,7 @@
 	NewFleet       bool          // no instance of the fleet ran before, so its voters need not abstain at the start
 	Views          bool          // package membership decides which instances are members, and memberlist only carries messages
 	Versions       bool          // members exchange the versions that they apply; requires Views
-	RolloutTimeout time.Duration // how long adopting a version may take before a member counts as lagging
+	RolloutTimeout time.Duration // time that a member has to adopt a version before it counts as lagging
 
 	MaxDeadline  time.Duration // the longest deadline of a keyed class
 	KeyRetention time.Duration // the longest time for which the state of an attempt's key is kept
@@ -52,7 +52,7 @@
 	// the fleet adds. No versions are announced while it is nil or has returned none. With Versions set, it is called a few
 	// times a second, one call at a time. It must not block.
 	AppliedVersions func() []version.Entry
-	// Transport carries the packets; nil: UDP and TCP on Listen.
+	// Transport carries packets and streams; nil: UDP and TCP on Listen.
 	Transport memberlist.NodeAwareTransport
 }
 
@@ -66,7 +66,7 @@
 	handoffQueueDepth = 8192
 	// deadNodeReclaimTime is how long a dead member's name is reserved for its address.
 	deadNodeReclaimTime = time.Second
-	// pushPullProbes is how many probe intervals lie between two exchanges of the full state.
+	// pushPullProbes is the number of probe intervals between two exchanges of the full state.
 	pushPullProbes = 10
 )
 
@@ -89,13 +89,13 @@
 	voters          []string
 	votersChangedAt time.Time
 
-	membership *membershipHost  // nil: memberlist decides who is a member
+	membership *membershipHost  // nil: memberlist determines the members
 	applied    *appliedVersions // nil: versions are not exchanged
 
 	keyOwnership
 }
 
-// Start starts an instance, which joins its fleet in the background. If no seed is reachable, it keeps trying until Close.
+// Start starts an instance, which joins its fleet in the background. If no seed is reachable, the instance keeps trying until Close.
 func Start(o Options) (*Fleet, error) {
 	f := &Fleet{
 		options: o,
--- a/internal/fleet/keyownership.go
+++ b/internal/fleet/keyownership.go
@@ -60,8 +60,8 @@
 	return ownership.AttemptID{Process: k.fleet.process, Number: k.lastAttemptNumber}
 }
 
-// ClaimKey asks the voters to agree that the attempts of a key go to one place. It returns once the result is final. It returns
-// Unknown if ctx ends, the claim times out or the instance is closed before.
+// ClaimKey asks the voters to agree that the attempts of a key go to one place. It returns once the result is final, or Unknown
+// if ctx ends, the claim times out or the instance is closed before that.
 func (k *keyOwnership) ClaimKey(ctx context.Context, p ownership.Proposal) (ownership.State, idempotency.KeyState) {
 	now := time.Now()
 	voters := k.fleet.voterNames()
--- a/internal/fleet/outbox.go
+++ b/internal/fleet/outbox.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// awaitStart waits until packets can be sent. It returns false if the instance is closed before.
+// awaitStart waits until packets can be sent. It returns false if the instance is closed before that.
 func (f *Fleet) awaitStart() bool {
 	select {
 	case <-f.started:
