--- a/internal/fleet/format_test.go
+++ b/internal/fleet/format_test.go
@@ -63,7 +63,7 @@
 }
 
 // Each message is encoded to the bytes in its golden file, and these bytes are decoded to the same message.
-func TestPacketFormat(t *testing.T) {
+func TestPacketFormatMatchesGoldenFiles(t *testing.T) {
 	for name, i := range formatItems {
 		t.Run(name, func(t *testing.T) {
 			assertPacketFormat(t, name, i)
@@ -105,7 +105,7 @@
 }
 
 // The numbers of message kinds, votes and version kinds are part of the packet format.
-func TestPacketEnumerations(t *testing.T) {
+func TestPacketEnumerationNumbersAreFixed(t *testing.T) {
 	for n, kind := range []membership.Kind{membership.Heartbeat, membership.Ping, membership.Ack, membership.PingRequest, membership.IndirectAck, membership.Report,
 		membership.Join, membership.NameTaken, membership.ViewRequest, membership.ViewResponse, membership.Prepare, membership.Promise, membership.Accept,
 		membership.Accepted, membership.Decided, membership.GrantRequest, membership.Grant} {
@@ -127,7 +127,7 @@
 }
 
 // Members compare these hashes with each other, so each version of the program has to compute the same hashes.
-func TestDigests(t *testing.T) {
+func TestHashesOfSamplesAreFixed(t *testing.T) {
 	view := formatMessage().View
 	if got := view.Hash(); got != 0x74ad88d5dfcd589d {
 		t.Errorf("hash of the sample view has changed: got %#x", got)
@@ -141,7 +141,7 @@
 }
 
 // The names of states and version kinds appear in metrics, on the control socket and in logs.
-func TestStateNames(t *testing.T) {
+func TestStateNamesMatchGoldenFile(t *testing.T) {
 	var names []string
 	for _, s := range []membership.State{membership.Alive, membership.Suspect, membership.ReportsIsolation, membership.Unreachable, membership.Isolated, membership.Dead, membership.Left} {
 		names = append(names, s.String())
@@ -160,7 +160,7 @@
 }
 
 // The control socket returns these structs as JSON, whose format must not change.
-func TestViewFormat(t *testing.T) {
+func TestViewFormatMatchesGoldenFiles(t *testing.T) {
 	for name, value := range map[string]any{"member": &Member{}, "reach": &ReachabilityView{}, "versions": &VersionsView{}} {
 		golden.Fill(value)
 		encoded, err := json.MarshalIndent(value, "", " ")
