--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -59,7 +59,8 @@
 // leavingMeta is the memberlist metadata of a member that is leaving.
 const leavingMeta = "leaving"
 
-// delegate implements memberlist's callbacks. Memberlist holds its own locks during a call, so no method calls memberlist.
+// delegate implements memberlist's callbacks. Memberlist holds its own locks during most callbacks, so only NotifyMsg, which is
+// called without them, may call memberlist.
 type delegate struct{ *Fleet }
 
 // NodeMeta implements memberlist.Delegate.
