--- a/internal/controlplane/catalog.go
+++ b/internal/controlplane/catalog.go
@@ -54,7 +54,7 @@
 	switch k {
 	case distribution.Clusters:
 		return records.Key{Kind: ads.Clusters, Name: name}, true
-	case distribution.Sets:
+	case distribution.EndpointSets:
 		return records.Key{Kind: ads.Endpoints, Name: name}, true
 	}
 	key, err := records.ParseKey(name)
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -12,12 +12,12 @@
 	filledAt              time.Time
 }
 
-// maxBurst is the time whose bytes may be sent at once: a lone subscriber never waits.
-const maxBurst = 100 * time.Millisecond
+// burstDuration is the time whose bytes may be sent at once: a lone subscriber never waits.
+const burstDuration = 100 * time.Millisecond
 
 func newByteBucket(now time.Time, limits Limits) byteBucket {
 	rate := float64(limits.BytesPerSecond)
-	capacity := math.Max(rate*maxBurst.Seconds(), float64(limits.MaxResponseBytes))
+	capacity := math.Max(rate*burstDuration.Seconds(), float64(limits.MaxResponseBytes))
 	return byteBucket{rate: rate, capacity: capacity, level: capacity, filledAt: now}
 }
 
@@ -75,8 +75,8 @@
 	return at
 }
 
-// Waiting returns how many subscribers wait for an initial state.
-func (d *Distributor) Waiting() int { return len(d.queue) }
+// WaitingCount returns how many subscribers wait for an initial state.
+func (d *Distributor) WaitingCount() int { return len(d.queue) }
 
 func (d *Distributor) enqueue(now time.Time, s *Subscriber) {
 	if !s.queued {
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -23,13 +23,13 @@
 // The kinds, in the order in which they are sent.
 const (
 	Clusters Kind = iota
-	Sets          // of endpoints
-	Records       // what control-plane servers replicate: clusters and sets, also removed ones, with their version vectors
-	Kinds         // the number of kinds
+	EndpointSets
+	Records   // what control-plane servers replicate: clusters and sets, also removed ones, with their version vectors
+	KindCount // the number of kinds
 )
 
 func (k Kind) String() string {
-	return [...]string{"cluster", "endpoints", "record", "?"}[min(k, Kinds)]
+	return [...]string{"cluster", "endpoints", "record", "?"}[min(k, KindCount)]
 }
 
 // ResourceVersion is the current version of a resource, as the subscribers of a kind get it.
@@ -59,8 +59,8 @@
 	catalog     Catalog
 	open        bool // sidecars are served; other control-plane servers always are
 	subscribers map[*Subscriber]bool
-	byName      [Kinds]map[string]map[*Subscriber]bool // by resource name
-	wildcards   [Kinds]map[*Subscriber]bool            // of all resources
+	byName      [KindCount]map[string]map[*Subscriber]bool // by resource name
+	wildcards   [KindCount]map[*Subscriber]bool            // of all resources
 	bucket      byteBucket
 	queue       []*Subscriber // waiting for an initial state, in order of arrival
 	woken       map[*Subscriber]bool
@@ -75,7 +75,7 @@
 		bucket:      newByteBucket(now, limits),
 		woken:       map[*Subscriber]bool{},
 	}
-	for k := range Kinds {
+	for k := range KindCount {
 		d.byName[k] = map[string]map[*Subscriber]bool{}
 		d.wildcards[k] = map[*Subscriber]bool{}
 	}
@@ -110,7 +110,7 @@
 	}
 	delete(d.subscribers, s)
 	delete(d.woken, s)
-	for k := range Kinds {
+	for k := range KindCount {
 		delete(d.wildcards[k], s)
 		for name := range s.subscriptions[k].names {
 			d.removeFromIndex(k, name, s)
@@ -133,11 +133,11 @@
 	}
 }
 
-// Changed records that a resource has a new version, and wakes the subscribers that it concerns.
-func (d *Distributor) Changed(key records.Key) {
+// NotifyChange records that a resource has a new version, and wakes the subscribers that it concerns.
+func (d *Distributor) NotifyChange(key records.Key) {
 	k := Clusters
 	if key.Kind == ads.Endpoints {
-		k = Sets
+		k = EndpointSets
 	}
 	d.markChanged(k, key.Name)
 	d.markChanged(Records, key.String())
@@ -158,15 +158,15 @@
 func (d *Distributor) addChanged(s *Subscriber, k Kind, name string) {
 	sub := &s.subscriptions[k]
 	if !sub.initial[name] {
-		putIn(&sub.changed, name, true)
+		setEntry(&sub.changed, name, true)
 	}
 	d.wake(s)
 }
 
 func (d *Distributor) wake(s *Subscriber) { d.woken[s] = true }
 
-// Woken returns the subscribers that may have something to send since the last call.
-func (d *Distributor) Woken() []*Subscriber {
+// TakeWoken returns the subscribers that may have something to send since the last call.
+func (d *Distributor) TakeWoken() []*Subscriber {
 	var woken []*Subscriber
 	for s := range d.woken {
 		woken = append(woken, s)
@@ -175,8 +175,8 @@
 	return woken
 }
 
-// putIn sets a value in a map that is allocated when it is first used.
-func putIn[V any](m *map[string]V, name string, value V) {
+// setEntry sets a value in a map that is allocated when it is first used.
+func setEntry[V any](m *map[string]V, name string, value V) {
 	if *m == nil {
 		*m = map[string]V{}
 	}
--- a/internal/controlplane/distribution/next.go
+++ b/internal/controlplane/distribution/next.go
@@ -21,7 +21,7 @@
 
 // Next returns the response to send to a subscriber now; ok is false if there is none.
 func (d *Distributor) Next(now time.Time, s *Subscriber) (response Response, ok bool) {
-	for k := range Kinds {
+	for k := range KindCount {
 		sub := &s.subscriptions[k]
 		if !sub.started || sub.nonce != "" || !d.open && k != Records {
 			continue
@@ -123,7 +123,7 @@
 
 // estimate returns how many bytes of an initial state a subscriber would be sent next.
 func (d *Distributor) estimate(s *Subscriber) int {
-	for k := range Kinds {
+	for k := range KindCount {
 		bytes := 0
 		for name := range s.subscriptions[k].initial {
 			if current, ok := d.catalog.Find(k, name); ok {
--- a/internal/controlplane/distribution/status.go
+++ b/internal/controlplane/distribution/status.go
@@ -70,7 +70,7 @@
 
 func (d *Distributor) progressOf(s *Subscriber) progress {
 	p := progress{status: Status{Waiting: s.queued}, outdated: map[records.Version]bool{}}
-	for k := range Kinds {
+	for k := range KindCount {
 		sub := &s.subscriptions[k]
 		p.status.InFlight = p.status.InFlight || sub.nonce != ""
 		d.addSubscribed(&p, k, sub)
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -14,7 +14,7 @@
 	Name string
 	Peer bool
 
-	subscriptions [Kinds]subscription
+	subscriptions [KindCount]subscription
 	lastNonce     uint64
 	contacted     bool // it was sent a response
 
@@ -69,7 +69,7 @@
 
 // HandleRequest handles a request. After an error the stream has to be closed.
 func (d *Distributor) HandleRequest(now time.Time, s *Subscriber, r Request) error {
-	if r.Kind >= Kinds || !d.subscribers[s] {
+	if r.Kind >= KindCount || !d.subscribers[s] {
 		return errors.New("a type that is not served")
 	}
 	if r.Kind == Records && !s.Peer {
@@ -101,7 +101,7 @@
 			break
 		}
 		if version, err := records.ParseVersion(text); err == nil { // a version of another server counts as the oldest
-			putIn(&sub.acknowledged, name, version)
+			setEntry(&sub.acknowledged, name, version)
 		}
 	}
 	sub.responseDue = true
@@ -125,7 +125,7 @@
 			delete(sub.acknowledged, name) // it requests the resource again
 		}
 		delete(sub.sent, name) // the response in flight may be from before it had unsubscribed
-		putIn(&sub.names, name, true)
+		setEntry(&sub.names, name, true)
 		d.addToIndex(r.Kind, name, s)
 		d.enqueueInitial(s, r.Kind, name)
 	}
@@ -157,7 +157,7 @@
 func (d *Distributor) enqueueInitial(s *Subscriber, k Kind, name string) {
 	sub := &s.subscriptions[k]
 	if d.isOutdated(k, sub, name) && !sub.changed[name] {
-		putIn(&sub.initial, name, true)
+		setEntry(&sub.initial, name, true)
 	}
 }
 
@@ -192,7 +192,7 @@
 func (sub *subscription) acknowledge(sent map[string]records.Version) {
 	for name, version := range sent {
 		if sub.names[name] || sub.wildcard {
-			putIn(&sub.acknowledged, name, version)
+			setEntry(&sub.acknowledged, name, version)
 		}
 		delete(sub.nacked, name)
 	}
@@ -202,10 +202,10 @@
 // rejected.
 func (sub *subscription) resendOneByOne(sent map[string]records.Version) {
 	for name := range sent {
-		putIn(&sub.oneByOne, name, true)
-		putIn(&sub.acknowledged, name, sub.acknowledged[name]) // it may have the resource: a removal must be sent
+		setEntry(&sub.oneByOne, name, true)
+		setEntry(&sub.acknowledged, name, sub.acknowledged[name]) // it may have the resource: a removal must be sent
 		if !sub.initial[name] {
-			putIn(&sub.changed, name, true)
+			setEntry(&sub.changed, name, true)
 		}
 	}
 }
@@ -215,9 +215,9 @@
 	for name, version := range sent {
 		_, known := sub.nacked[name]
 		if known || len(sub.nacked) < maxNacks {
-			putIn(&sub.nacked, name, Nack{Version: version, Reason: reason[:min(len(reason), maxReasonBytes)], At: now})
+			setEntry(&sub.nacked, name, Nack{Version: version, Reason: reason[:min(len(reason), maxReasonBytes)], At: now})
 		} else {
-			putIn(&sub.acknowledged, name, version)
+			setEntry(&sub.acknowledged, name, version)
 		}
 	}
 }
--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -108,7 +108,7 @@
 // The names of kinds stand in commands, refusals and record keys.
 func TestKindNames(t *testing.T) {
 	var names []string
-	for k := range distribution.Kinds {
+	for k := range distribution.KindCount {
 		names = append(names, k.String(), typeOf(k))
 	}
 	for k := range ads.KindCount {
--- a/internal/controlplane/peer.go
+++ b/internal/controlplane/peer.go
@@ -61,7 +61,7 @@
 	failures := 0
 	for s.ctx.Err() == nil {
 		err := p.subscribe()
-		if p.disconnected(err, failures) {
+		if p.recordDisconnect(err, failures) {
 			failures = 0
 		}
 		width := min(minBackoff<<min(failures, maxBackoffDoublings), maxBackoff)
@@ -73,8 +73,8 @@
 	}
 }
 
-// disconnected records that the stream has ended, and reports whether it had been up.
-func (p *peer) disconnected(err error, failures int) (wasUp bool) {
+// recordDisconnect records that the stream has ended, and reports whether it had been up.
+func (p *peer) recordDisconnect(err error, failures int) (wasUp bool) {
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	versions := p.connecting()
+	versions := p.recordConnecting()
 	stream, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(ctx)
 	if err != nil {
 		return err
@@ -128,8 +128,8 @@
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: dialTimeout}))
 }
 
-// connecting records that the stream is being opened, and returns the versions that this server has.
-func (p *peer) connecting() map[string]string {
+// recordConnecting records that the stream is being opened, and returns the versions that this server has.
+func (p *peer) recordConnecting() map[string]string {
 	s := p.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/records/publish.go
+++ b/internal/controlplane/records/publish.go
@@ -18,7 +18,7 @@
 // Prepare returns the publication of contents, or all faults in them. It changes nothing: the records are in force once they are
 // merged, which has to wait until they are stored. A version that was sent and not stored would be assigned twice.
 func (s *Store) Prepare(contents []Content) (p Publication, faults []error) {
-	next, faults := s.collect(contents)
+	next, faults := s.contentsByKey(contents)
 	faults = append(faults, s.danglingReferences(next)...)
 	present, _ := s.Counts()
 	p.Version = Version{Counter: s.counter + 1, Origin: s.origin}
@@ -45,8 +45,8 @@
 	return p, nil
 }
 
-// collect returns the contents by key.
-func (s *Store) collect(contents []Content) (next map[Key]Content, faults []error) {
+// contentsByKey returns the contents by key.
+func (s *Store) contentsByKey(contents []Content) (next map[Key]Content, faults []error) {
 	next = map[Key]Content{}
 	for _, c := range contents {
 		if _, duplicate := next[c.Key]; duplicate {
@@ -80,8 +80,8 @@
 	for _, k := range slices.SortedFunc(maps.Keys(next), Key.Compare) {
 		c := next[k]
 		switch {
-		case k.Kind == ads.Clusters && !c.Removed && c.Set != "" && !s.willBePresent(next, Key{Kind: ads.Endpoints, Name: c.Set}):
-			faults = append(faults, fmt.Errorf("%s: eds_cluster_config: there are no endpoints named %q", k, c.Set))
+		case k.Kind == ads.Clusters && !c.Removed && c.EndpointSet != "" && !s.willBePresent(next, Key{Kind: ads.Endpoints, Name: c.EndpointSet}):
+			faults = append(faults, fmt.Errorf("%s: eds_cluster_config: there are no endpoints named %q", k, c.EndpointSet))
 		case k.Kind == ads.Endpoints && c.Removed:
 			faults = append(faults, s.stillRequired(next, k)...)
 		}
@@ -93,7 +93,7 @@
 func (s *Store) stillRequired(next map[Key]Content, set Key) (faults []error) {
 	for _, cluster := range s.clustersOf(set.Name) {
 		c, changes := next[Key{Kind: ads.Clusters, Name: cluster}]
-		if !changes || !c.Removed && c.Set == set.Name {
+		if !changes || !c.Removed && c.EndpointSet == set.Name {
 			faults = append(faults, fmt.Errorf("%s: can't be removed: cluster %q needs it", set, cluster))
 		}
 	}
@@ -112,7 +112,7 @@
 func (s *Store) clustersOf(set string) []string {
 	var clusters []string
 	for name, e := range s.entries[ads.Clusters] {
-		if !e.Removed && e.Set == set {
+		if !e.Removed && e.EndpointSet == set {
 			clusters = append(clusters, name)
 		}
 	}
--- a/internal/controlplane/records/record.go
+++ b/internal/controlplane/records/record.go
@@ -119,10 +119,10 @@
 // Content is what is published of a resource.
 type Content struct {
 	Key
-	Removed bool     `codec:"Removed"`
-	Digest  [16]byte `codec:"Digest"`
-	Raw     []byte   `codec:"Raw"` // as subscribers get it; empty for a removed resource
-	Set     string   `codec:"Set"` // of a cluster: the endpoint set that it requires; empty: none
+	Removed     bool     `codec:"Removed"`
+	Digest      [16]byte `codec:"Digest"`
+	Raw         []byte   `codec:"Raw"` // as subscribers get it; empty for a removed resource
+	EndpointSet string   `codec:"Set"` // of a cluster: the endpoint set that it requires; empty: none
 }
 
 // isSame reports whether two contents of a resource are equal.
--- a/internal/controlplane/records/records_test.go
+++ b/internal/controlplane/records/records_test.go
@@ -12,7 +12,7 @@
 	"silvertrail/internal/xds/ads"
 )
 
-var zero = time.Unix(0, 0)
+var testTime = time.Unix(0, 0)
 
 func content(k Key, text string) Content {
 	c := Content{Key: k, Raw: []byte(text), Removed: text == ""}
@@ -30,7 +30,7 @@
 		if err := r.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if v := s.Merge(zero, r); v != Applied {
+		if v := s.Merge(testTime, r); v != Applied {
 			t.Fatalf("%s %s: %s", r.Key, r.Version, v)
 		}
 	}
@@ -53,7 +53,7 @@
 		told := map[Conflict]bool{}
 		merge := func(i int, r Record) {
 			was, _ := stores[i].Find(r.Key)
-			stores[i].Merge(zero, r)
+			stores[i].Merge(testTime, r)
 			is, _ := stores[i].Find(r.Key)
 			if is.Version.Compare(was.Version) < 0 || is.Version.Compare(r.Version) < 0 {
 				t.Fatalf("%s at machine %d went from %s to %s with %s", r.Key, i, was.Version, is.Version, r.Version)
@@ -129,7 +129,7 @@
 func TestPublishing(t *testing.T) {
 	s := New("m")
 	cluster := content(Key{ads.Clusters, "c"}, "c1")
-	cluster.Set = "e"
+	cluster.EndpointSet = "e"
 	set := content(Key{ads.Endpoints, "e"}, "e1")
 	gone := func(k Key) Content { return Content{Key: k, Removed: true} }
 	refused := func(want string, contents ...Content) {
@@ -148,7 +148,7 @@
 	}
 	publish(t, s, gone(set.Key), gone(cluster.Key))
 	for _, r := range old {
-		if v := s.Merge(zero, r); v != Superseded || s.isPresent(r.Key) {
+		if v := s.Merge(testTime, r); v != Superseded || s.isPresent(r.Key) {
 			t.Errorf("%s is back: %s", r.Key, v)
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 	// One machine removes the endpoints while another names them: told, not hidden.
 	r := Record{Content: cluster, Version: Version{9, "other"}}
-	s.Merge(zero, r)
+	s.Merge(testTime, r)
 	if d := s.DanglingClusters(); len(d) != 1 || d[0] != cluster.Key {
 		t.Errorf("dangling: %v", d)
 	}
--- a/internal/controlplane/records/store.go
+++ b/internal/controlplane/records/store.go
@@ -201,7 +201,7 @@
 func (s *Store) DanglingClusters() []Key {
 	var dangling []Key
 	for _, e := range s.entries[ads.Clusters] {
-		if !e.Removed && e.Set != "" && !s.isPresent(Key{Kind: ads.Endpoints, Name: e.Set}) {
+		if !e.Removed && e.EndpointSet != "" && !s.isPresent(Key{Kind: ads.Endpoints, Name: e.EndpointSet}) {
 			dangling = append(dangling, e.Key)
 		}
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -212,7 +212,7 @@
 		s.log.Info("initial sync complete, serving sidecars", "counter", s.store.Counter())
 	}
 	s.distributor.Step(now)
-	for _, subscriber := range s.distributor.Woken() {
+	for _, subscriber := range s.distributor.TakeWoken() {
 		if st := s.streams[subscriber]; st != nil {
 			st.wake()
 		}
@@ -244,6 +244,6 @@
 // merge applies a record where it is the newest. The caller holds the lock, and calls advance.
 func (s *Server) merge(r records.Record) {
 	if s.store.Merge(time.Now(), r) == records.Applied {
-		s.distributor.Changed(r.Key)
+		s.distributor.NotifyChange(r.Key)
 	}
 }
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -26,7 +26,7 @@
 		Removed:     removed,
 		Messages:    s.messageCount,
 		Bytes:       s.byteCount,
-		Waiting:     s.distributor.Waiting(),
+		Waiting:     s.distributor.WaitingCount(),
 		Subscribers: s.subscriberStatuses(report),
 		Peers:       s.peerStatuses(report),
 	}
--- a/internal/controlplane/stream.go
+++ b/internal/controlplane/stream.go
@@ -133,7 +133,7 @@
 // handleRequest handles a request. After an error the stream ends.
 func (s *Server) handleRequest(st *stream, m *discoveryv3.DeltaDiscoveryRequest) error {
 	k := kindOf(m.TypeUrl)
-	if k == distribution.Kinds { // of a client that supports more types
+	if k == distribution.KindCount { // of a client that supports more types
 		return nil
 	}
 	s.mu.Lock()
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -34,12 +34,12 @@
 
 // kindOf returns the kind of a type URL, or distribution.Kinds for a type that is not served.
 func kindOf(url string) distribution.Kind {
-	for k := range distribution.Kinds {
+	for k := range distribution.KindCount {
 		if typeOf(k) == url {
 			return k
 		}
 	}
-	return distribution.Kinds
+	return distribution.KindCount
 }
 
 // encodeResource returns a record as the subscribers of a kind get it.
@@ -129,7 +129,7 @@
 		return records.Content{}, err
 	}
 	key := records.Key{Kind: k, Name: item.Name}
-	return records.Content{Key: key, Digest: item.Digest, Raw: item.Raw, Set: requiredSet(item.Cluster)}, nil
+	return records.Content{Key: key, Digest: item.Digest, Raw: item.Raw, EndpointSet: requiredSet(item.Cluster)}, nil
 }
 
 // requiredSet returns the endpoint set that a cluster requires from its control plane.
