--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -1,5 +1,5 @@
-// Package api defines the options and the status of a control-plane server apart from its implementation, so that a program that
-// is built without it can read the configuration, and query servers that have it.
+// Package api defines the options and the status of a control-plane server. It is separate from the implementation: a program
+// that is built without a control-plane server can still read the configuration and query other control-plane servers.
 package api
 
 import (
@@ -11,8 +11,8 @@
 
 // Defaults of the options.
 const (
-	// DefaultBytesPerSecond is the sum of what 767 sidecars have for control traffic, 13 KB a second each: a server that sends faster than
-	// they may receive gains nothing.
+	// DefaultBytesPerSecond is what 767 sidecars together may receive, at 13 KB/s of control traffic each. A server that sends
+	// faster than that gains nothing.
 	DefaultBytesPerSecond = 10 << 20
 	DefaultSubscribers    = 2048
 	DefaultInitialSync    = 3 * time.Second
@@ -20,7 +20,7 @@
 
 // Peer is another control-plane server.
 type Peer struct {
-	Name  string // as it identifies itself
+	Name  string // the node ID in its requests
 	Plane bootstrap.ControlPlane
 }
 
@@ -31,10 +31,10 @@
 	Insecure       bool   // without TLS
 	TLS            certs.Files
 	Peers          []Peer
-	StateFile      string        // empty: what was published is lost with the process
-	BytesPerSecond int64         // of initial states
-	MaxSubscribers int           // streams at once; others are rejected
-	InitialSync    time.Duration // how long peers are waited for at the start
+	StateFile      string        // empty: publications are kept in memory only
+	BytesPerSecond int64         // limit on initial states, for all subscribers together
+	MaxSubscribers int           // limit on concurrent streams, plus one for each peer; further streams are rejected
+	InitialSync    time.Duration // how long the server waits for its peers' records at its start
 }
 
 // Published is the result of a publication.
@@ -42,7 +42,7 @@
 	Version   string `json:"version"`
 	Resources int    `json:"resources"` // new or changed
 	Removed   int    `json:"removed"`
-	Unchanged int    `json:"unchanged"` // in force already
+	Unchanged int    `json:"unchanged"` // had the published content already
 }
 
 // Status is the status of a control-plane server.
@@ -55,37 +55,37 @@
 	Removed     int          `json:"removed"`
 	Messages    int64        `json:"messages"` // sent since the start
 	Bytes       int64        `json:"bytes"`
-	Waiting     int          `json:"waiting"` // subscribers, for their initial state
+	Waiting     int          `json:"waiting"` // subscribers queued for their initial state
 	Subscribers []Subscriber `json:"subscribers"`
-	Versions    []Version    `json:"versions"` // that any subscriber is behind in, the newest first
+	Versions    []Version    `json:"versions"` // not acknowledged by all their subscribers, newest first
 	Rejections  []Rejection  `json:"refusals"`
 	Peers       []PeerStatus `json:"peers"`
 	Conflicts   []Conflict   `json:"conflicts"`
 	Dangling    []string     `json:"dangling"` // clusters whose endpoint set is missing
 }
 
-// Subscriber is a stream.
+// Subscriber is the status of a subscriber's stream.
 type Subscriber struct {
 	Node       string    `json:"node"`
 	Address    string    `json:"address"`
 	Since      time.Time `json:"since"`
 	Peer       bool      `json:"peer,omitempty"`
-	Subscribed int       `json:"subscribed"` // names
-	Behind     int       `json:"behind"`     // of these, those not acknowledged in the version of this server
+	Subscribed int       `json:"subscribed"` // number of names
+	Behind     int       `json:"behind"`     // names whose version on this server is not acknowledged
 	Rejected   int       `json:"refused"`
-	Ahead      int       `json:"ahead"` // of these, those newer than on this server, from a server that it has not synced with
+	Ahead      int       `json:"ahead"` // names that the subscriber has in a newer version, from a server that this one has not synced with
 	InFlight   bool      `json:"in_flight"`
 	Messages   int64     `json:"messages"`
 	Bytes      int64     `json:"bytes"`
 }
 
-// Version is a publication that is not in force at all its subscribers.
+// Version is a published version that some of its subscribers have not acknowledged.
 type Version struct {
 	Version string `json:"version"`
-	Behind  int    `json:"behind"` // subscribers
+	Behind  int    `json:"behind"` // number of subscribers
 }
 
-// Rejection is a version that a subscriber has rejected. The version before it is in force there.
+// Rejection is a version that a subscriber has rejected. The subscriber keeps using the previous version.
 type Rejection struct {
 	Node    string    `json:"node"`
 	Kind    string    `json:"kind"`
@@ -100,13 +100,13 @@
 	Name        string    `json:"name"`
 	State       string    `json:"state"` // down, connecting, up
 	LastMessage time.Time `json:"heard,omitzero"`
-	Synced      bool      `json:"whole"`   // all its records were received on this stream
-	Subscribed  bool      `json:"follows"` // it subscribes to this server
-	Behind      int       `json:"behind"`  // records of this server that it has not acknowledged
+	Synced      bool      `json:"whole"`   // all records of the peer were received on the current stream
+	Subscribed  bool      `json:"follows"` // the peer has subscribed to this server
+	Behind      int       `json:"behind"`  // records of this server that the peer has not acknowledged
 	Fault       string    `json:"fault,omitempty"`
 }
 
-// Conflict is two concurrent versions: the winner is in force.
+// Conflict describes two concurrent versions of a resource. The winner is in force.
 type Conflict struct {
 	Kind   string    `json:"kind"`
 	Name   string    `json:"name"`
--- a/internal/controlplane/catalog.go
+++ b/internal/controlplane/catalog.go
@@ -9,7 +9,7 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// resourceOverheadBytes is about what a resource takes beside its content: names, versions and types.
+// resourceOverheadBytes is the approximate number of bytes that names, versions and types add to a resource's content.
 const resourceOverheadBytes = 120
 
 // catalog implements distribution.Catalog with the records of a store.
@@ -41,7 +41,7 @@
 	}
 }
 
-// nameOf returns the name under which the subscribers of a kind get a record.
+// nameOf returns the name under which the subscribers of a kind receive a record.
 func nameOf(k distribution.Kind, r records.Record) string {
 	if k == distribution.Records {
 		return r.Key.String()
@@ -49,7 +49,7 @@
 	return r.Name
 }
 
-// keyOf returns the key of the record that the subscribers of a kind get under a name.
+// keyOf returns the key of the record that the subscribers of a kind receive under a name.
 func keyOf(k distribution.Kind, name string) (key records.Key, ok bool) {
 	switch k {
 	case distribution.Clusters:
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -12,7 +12,7 @@
 	filledAt              time.Time
 }
 
-// burstDuration is the time whose bytes may be sent at once: a lone subscriber never waits.
+// burstDuration is the time for which unused bytes accumulate. They may be sent at once, so a single subscriber does not wait.
 const burstDuration = 100 * time.Millisecond
 
 func newByteBucket(now time.Time, limits Limits) byteBucket {
@@ -48,7 +48,7 @@
 	}
 	for _, s := range d.queue {
 		if now.Sub(s.queuedAt) < d.limits.KeepaliveDelay {
-			break // those behind it came later
+			break // the rest of the queue was added later
 		}
 		if !s.contacted && !s.keepaliveDue {
 			s.keepaliveDue = true
@@ -57,7 +57,7 @@
 	}
 }
 
-// NextStep returns the time at which Step has something to do, or zero.
+// NextStep returns the time at which Step has to be called, or the zero time if the queue is empty.
 func (d *Distributor) NextStep() time.Time {
 	if len(d.queue) == 0 {
 		return time.Time{}
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -1,12 +1,13 @@
 // Package distribution decides which resources a control-plane server sends to which subscribers, and when. It does no I/O
-// and reads no clock. A Distributor belongs to one host, which serialises all calls.
+// and reads no clock. A Distributor belongs to one server, which serialises all calls.
 //
-// A subscriber is one stream of the incremental xDS protocol. Of each kind of resource, the names that it has subscribed to
-// and does not have in the current version are pending. One response of a kind is in flight at a time: changes until it is
-// answered are combined, and the subscriber gets the newest state once. A slow or paused subscriber therefore costs its
-// names and one response, whatever has changed. Changes are sent at once. Initial states, which all subscribers request that
-// come back at once, are limited in bytes per second, first come, first served. A subscriber that has a newer version than
-// this server is sent nothing.
+// A subscriber is one stream of the incremental xDS protocol. A name that it has subscribed to is pending while the subscriber
+// does not have the current version of the resource. One response of a kind is in flight at a time. Changes until it is answered
+// are combined, and the subscriber gets the newest state once. The cost of a slow or paused subscriber is therefore its names
+// and one response, however many changes there are.
+//
+// Changes are sent at once. Initial states are limited in bytes per second, first come, first served, as many subscribers may
+// reconnect and request them at the same time. A resource that a subscriber has in a newer version than this server is not sent.
 package distribution
 
 import (
@@ -17,7 +18,7 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// Kind is a kind of resource that is subscribed to.
+// Kind is a kind of resource that can be subscribed to.
 type Kind uint8
 
 // The kinds, in the order in which they are sent.
@@ -32,7 +33,7 @@
 	return [...]string{"cluster", "endpoints", "record", "?"}[min(k, KindCount)]
 }
 
-// ResourceVersion is the current version of a resource, as the subscribers of a kind get it.
+// ResourceVersion is the current version of a resource, as the subscribers of a kind receive it.
 type ResourceVersion struct {
 	Version records.Version
 	Bytes   int
@@ -48,19 +49,19 @@
 // Limits are the limits of a Distributor.
 type Limits struct {
 	BytesPerSecond   int64         // of initial states, for all subscribers together
-	MaxResponseBytes int           // of a response, unless one resource is larger
+	MaxResponseBytes int           // of a response, unless it holds a single larger resource
 	KeepaliveDelay   time.Duration // after which a subscriber that waits for its initial state is sent an empty response
-	MaxNames         int           // of a kind that one subscriber may subscribe to
+	MaxNames         int           // of a kind, for one subscriber
 }
 
-// Distributor holds the subscriptions, and what is pending for them. It is not safe for concurrent use.
+// Distributor holds the subscriptions and their pending resources. It is not safe for concurrent use.
 type Distributor struct {
 	limits      Limits
 	catalog     Catalog
 	open        bool // sidecars are served; other control-plane servers always are
 	subscribers map[*Subscriber]bool
 	byName      [KindCount]map[string]map[*Subscriber]bool // by resource name
-	wildcards   [KindCount]map[*Subscriber]bool            // of all resources
+	wildcards   [KindCount]map[*Subscriber]bool            // subscribers to all resources of a kind
 	bucket      byteBucket
 	queue       []*Subscriber // waiting for an initial state, in order of arrival
 	woken       map[*Subscriber]bool
@@ -82,7 +83,7 @@
 	return d
 }
 
-// Open starts to serve sidecars. Before, this server may be behind its peers.
+// Open starts to serve sidecars. It is called once this server is up to date with its peers, or has stopped waiting for them.
 func (d *Distributor) Open() {
 	if d.open {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// NotifyChange records that a resource has a new version, and wakes the subscribers that it concerns.
+// NotifyChange marks the new version of a resource as pending for its subscribers, and wakes them.
 func (d *Distributor) NotifyChange(key records.Key) {
 	k := Clusters
 	if key.Kind == ads.Endpoints {
@@ -154,7 +155,8 @@
 	}
 }
 
-// addChanged makes a change pending. Where the initial state is pending it brings the newest version in its turn.
+// addChanged makes a changed resource pending. A resource that is still pending in the initial state stays there: it will be sent
+// in its newest version.
 func (d *Distributor) addChanged(s *Subscriber, k Kind, name string) {
 	sub := &s.subscriptions[k]
 	if !sub.initial[name] {
@@ -165,7 +167,7 @@
 
 func (d *Distributor) wake(s *Subscriber) { d.woken[s] = true }
 
-// TakeWoken returns the subscribers that may have something to send since the last call.
+// TakeWoken returns the subscribers that were woken since the last call: there may be something to send to them.
 func (d *Distributor) TakeWoken() []*Subscriber {
 	var woken []*Subscriber
 	for s := range d.woken {
@@ -175,7 +177,7 @@
 	return woken
 }
 
-// setEntry sets a value in a map that is allocated when it is first used.
+// setEntry sets a value in a map, which it allocates first if the map is nil.
 func setEntry[V any](m *map[string]V, name string, value V) {
 	if *m == nil {
 		*m = map[string]V{}
--- a/internal/controlplane/distribution/next.go
+++ b/internal/controlplane/distribution/next.go
@@ -13,7 +13,7 @@
 type Response struct {
 	Kind     Kind
 	Nonce    string
-	Names    []string // present
+	Names    []string // of the resources to send
 	Removed  []string
 	Bytes    int  // approximately
 	Complete bool // nothing more of the kind is pending
@@ -78,7 +78,7 @@
 	single       bool // the response holds one resource that has to be sent by itself
 }
 
-// addAll adds the pending resources of a set: as many as fit, or, if all have to be sent one by one, the first.
+// addAll adds as many of the pending resources as fit. If all of them have to be sent one by one, it adds only the first.
 func (b *responseBuilder) addAll(pending map[string]bool) {
 	b.add(pending, false)
 	if len(b.sent) == 0 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// add adds pending resources that may be sent together, or one that has to be sent by itself. Resources that the subscriber has
-// by now are dropped from the set.
+// add adds pending resources that may be sent together or, if single is set, one that has to be sent by itself. Resources that
+// the subscriber has by now are no longer pending.
 func (b *responseBuilder) add(pending map[string]bool, single bool) {
 	sub := b.subscription
 	for _, name := range slices.Sorted(maps.Keys(pending)) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// estimate returns how many bytes of an initial state a subscriber would be sent next.
+// estimate returns the size in bytes of the next part of a subscriber's initial state, at most MaxResponseBytes.
 func (d *Distributor) estimate(s *Subscriber) int {
 	for k := range KindCount {
 		bytes := 0
--- a/internal/controlplane/distribution/status.go
+++ b/internal/controlplane/distribution/status.go
@@ -9,15 +9,15 @@
 
 // Status is the progress of a subscriber.
 type Status struct {
-	Subscribed int // names; for a wildcard: all resources
-	Behind     int // of these, those not acknowledged in the current version
-	Rejected   int // of these, those that it has rejected
-	Ahead      int // names of which it has a newer version, from a server that this one has not synced with
+	Subscribed int // number of names; for a wildcard: of all resources
+	Behind     int // names whose current version is not acknowledged
+	Rejected   int // names whose current version the subscriber has rejected
+	Ahead      int // names that the subscriber has in a newer version, from a server that this one has not synced with
 	Waiting    bool
-	InFlight   bool // a response that it has not answered
+	InFlight   bool // the subscriber has not answered a response
 }
 
-// VersionLag is how many subscribers have not acknowledged all resources of a version that they subscribe to.
+// VersionLag is the number of subscribers that have not acknowledged all the resources of a version that they subscribe to.
 type VersionLag struct {
 	Version records.Version
 	Behind  int
@@ -34,8 +34,8 @@
 // Report is the progress of all subscribers.
 type Report struct {
 	Statuses   map[*Subscriber]Status
-	Lags       []VersionLag // of the versions that any subscriber is behind in, the newest first
-	Rejections []Rejection  // the newest first
+	Lags       []VersionLag // one for each version that any subscriber is behind in, newest first
+	Rejections []Rejection  // newest first
 }
 
 // Report returns the progress of all subscribers, with a bounded number of rejections.
@@ -64,7 +64,7 @@
 // progress is the status of one subscriber with its details.
 type progress struct {
 	status     Status
-	outdated   map[records.Version]bool // versions of which it lacks a resource
+	outdated   map[records.Version]bool // versions of which a resource is not acknowledged
 	rejections []Rejection
 }
 
@@ -108,7 +108,7 @@
 	case order > 0:
 		p.status.Ahead++
 	case order == 0:
-	case current.Removed && !known && !sub.names[name]: // it never had the resource, and does not wait for it
+	case current.Removed && !known && !sub.names[name]: // the subscriber never had the resource, and does not wait for it
 	default:
 		p.status.Behind++
 		if k != Records {
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -9,43 +9,43 @@
 	"silvertrail/internal/controlplane/records"
 )
 
-// Subscriber is one stream.
+// Subscriber is the stream of one subscriber.
 type Subscriber struct {
 	Name string
 	Peer bool
 
 	subscriptions [KindCount]subscription
 	lastNonce     uint64
-	contacted     bool // it was sent a response
+	contacted     bool // a response was sent to it
 
-	// Of the initial state:
+	// The place in the queue for initial states:
 	queued, granted bool
 	queuedAt        time.Time
 	keepaliveDue    bool
 }
 
-// subscription is what a stream has subscribed to of a kind, and its progress.
+// subscription holds the resources of one kind that a stream has subscribed to, and the progress of sending them.
 type subscription struct {
 	started      bool
 	wildcard     bool
-	responseDue  bool // also if it is empty
+	responseDue  bool // even if there is no resource to send
 	names        map[string]bool
-	acknowledged map[string]records.Version // by name; also those that the first request names
+	acknowledged map[string]records.Version // by name; includes the versions named in the first request
 
 	// Pending resources:
-	initial  map[string]bool // sent in turn
+	initial  map[string]bool // sent when the subscriber's turn in the queue comes
 	changed  map[string]bool // sent at once
-	oneByOne map[string]bool // of these, those to send by themselves, as a response with several of them was rejected
+	oneByOne map[string]bool // pending resources to send by themselves, as a response with several of them was rejected
 
 	// The response in flight:
-	nonce       string // empty: none is
+	nonce       string // empty: no response is in flight
 	sent        map[string]records.Version
 	sentSeveral bool // it holds more than one resource
 
 	nacked map[string]Nack
 }
 
-// Nack is a version that a subscriber has rejected. The version before it stays in force there.
+// Nack is a version that a subscriber has rejected. The subscriber keeps using the previous version.
 type Nack struct {
 	Version records.Version
 	Reason  string
@@ -56,15 +56,15 @@
 type Request struct {
 	Kind                   Kind
 	Subscribe, Unsubscribe []string
-	InitialVersions        map[string]string // in the first request of the kind: the versions that it has, by name
-	Nonce                  string            // of the response that it answers; empty: of none
+	InitialVersions        map[string]string // in the first request of the kind: the versions that the subscriber has, by name
+	Nonce                  string            // of the response that the request answers; empty: none
 	NackReason             string            // empty: the response was accepted
 }
 
 const (
 	wildcardName   = "*"
-	maxReasonBytes = 1 << 10 // of a reason that is kept
-	maxNacks       = 64      // of a kind that are kept for one subscriber
+	maxReasonBytes = 1 << 10 // of a stored reason
+	maxNacks       = 64      // stored of a kind for one subscriber
 )
 
 // HandleRequest handles a request. After an error the stream has to be closed.
@@ -93,14 +93,14 @@
 	return nil
 }
 
-// startSubscription handles what only the first request of a kind holds.
+// startSubscription handles the fields that have a meaning only in the first request of a kind.
 func (d *Distributor) startSubscription(s *Subscriber, r Request) {
 	sub := &s.subscriptions[r.Kind]
 	for name, text := range r.InitialVersions {
 		if len(sub.acknowledged) >= d.limits.MaxNames {
 			break
 		}
-		if version, err := records.ParseVersion(text); err == nil { // a version of another server counts as the oldest
+		if version, err := records.ParseVersion(text); err == nil { // a version in another implementation's format counts as the oldest
 			setEntry(&sub.acknowledged, name, version)
 		}
 	}
@@ -122,9 +122,9 @@
 			return fmt.Errorf("over %d names of a type", d.limits.MaxNames)
 		}
 		if _, hasVersion := r.InitialVersions[name]; !hasVersion {
-			delete(sub.acknowledged, name) // it requests the resource again
+			delete(sub.acknowledged, name) // the subscriber requests the resource again
 		}
-		delete(sub.sent, name) // the response in flight may be from before it had unsubscribed
+		delete(sub.sent, name) // the response in flight may be from before the subscriber had unsubscribed
 		setEntry(&sub.names, name, true)
 		d.addToIndex(r.Kind, name, s)
 		d.enqueueInitial(s, r.Kind, name)
@@ -153,7 +153,7 @@
 	}
 }
 
-// enqueueInitial makes a resource pending that the subscriber does not have.
+// enqueueInitial makes a resource pending in the initial state if the subscriber does not have its current version.
 func (d *Distributor) enqueueInitial(s *Subscriber, k Kind, name string) {
 	sub := &s.subscriptions[k]
 	if d.isOutdated(k, sub, name) && !sub.changed[name] {
@@ -169,7 +169,7 @@
 		return false
 	}
 	acknowledged, known := sub.acknowledged[name]
-	if current.Removed && !known && !sub.names[name] { // it never had the resource, and does not wait for it
+	if current.Removed && !known && !sub.names[name] { // the subscriber never had the resource, and does not wait for it
 		return false
 	}
 	return acknowledged.Compare(current.Version) < 0 && sub.nacked[name].Version != current.Version
@@ -203,14 +203,15 @@
 func (sub *subscription) resendOneByOne(sent map[string]records.Version) {
 	for name := range sent {
 		setEntry(&sub.oneByOne, name, true)
-		setEntry(&sub.acknowledged, name, sub.acknowledged[name]) // it may have the resource: a removal must be sent
+		setEntry(&sub.acknowledged, name, sub.acknowledged[name]) // the subscriber may have the resource: a removal must be sent
 		if !sub.initial[name] {
 			setEntry(&sub.changed, name, true)
 		}
 	}
 }
 
-// reject records the rejected resource. Beyond the bound it only is not sent again.
+// reject stores the rejected version and its reason. Once maxNacks are stored, the version is only marked so that it is not sent
+// again.
 func (sub *subscription) reject(now time.Time, sent map[string]records.Version, reason string) {
 	for name, version := range sent {
 		_, known := sub.nacked[name]
--- a/internal/controlplane/peer.go
+++ b/internal/controlplane/peer.go
@@ -23,12 +23,12 @@
 
 const (
 	maxMessageBytes = 16 << 20 // of a peer's response
-	// A peer that is back has to be synced with soon: a change must be in force everywhere within seconds. There are few peers,
-	// so the backoff is short.
+	// The backoff is short: once a peer is reachable again, its changes must be in force everywhere within seconds. The load is
+	// low, as there are few peers.
 	minBackoff, maxBackoff = 100 * time.Millisecond, 2 * time.Second
 	maxBackoffDoublings    = 10
 	dialTimeout            = 5 * time.Second
-	// minKeepaliveInterval of the other server allows peerKeepaliveInterval.
+	// peerKeepaliveInterval is longer than the peer's minKeepaliveInterval, so that the peer does not close the connection.
 	peerKeepaliveInterval, peerKeepaliveTimeout = 10 * time.Second, 5 * time.Second
 	maxReportedFaults                           = 20
 )
@@ -55,7 +55,7 @@
 	fault       string
 }
 
-// run keeps the stream connected for as long as the server runs.
+// run opens the stream, and opens it again whenever it has ended, until the server closes.
 func (p *peer) run() {
 	s := p.server
 	failures := 0
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordDisconnect records that the stream has ended, and reports whether it had been up.
+// recordDisconnect records that the stream has ended, and reports whether it was up.
 func (p *peer) recordDisconnect(err error, failures int) (wasUp bool) {
 	s := p.server
 	s.mu.Lock()
@@ -128,7 +128,7 @@
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: dialTimeout}))
 }
 
-// recordConnecting records that the stream is being opened, and returns the versions that this server has.
+// recordConnecting records that the stream is being opened, and returns the versions of all records of this server.
 func (p *peer) recordConnecting() map[string]string {
 	s := p.server
 	s.mu.Lock()
@@ -156,7 +156,7 @@
 	return stream.Send(answer)
 }
 
-// mergeResponse merges a peer's records. It returns the faults of those that are invalid; the others are applied.
+// mergeResponse merges the valid records of a peer's response, and returns the faults of the invalid ones.
 func (p *peer) mergeResponse(m *discoveryv3.DeltaDiscoveryResponse) (fault string) {
 	valid, fault := parseRecords(m)
 	s := p.server
--- a/internal/controlplane/persistence.go
+++ b/internal/controlplane/persistence.go
@@ -13,7 +13,8 @@
 	"silvertrail/internal/controlplane/records"
 )
 
-// restoreStore reads the state file. An unreadable one is an error: starting without it would lose what no other server may have.
+// restoreStore returns the store that is saved in the state file, or an empty one if there is no file. An unreadable file is an
+// error: it may hold records that no other server has.
 func restoreStore(o api.Options) (*records.Store, error) {
 	if o.StateFile == "" {
 		return records.New(newOrigin(o.Name)), nil
@@ -27,20 +28,21 @@
 	case errors.Is(err, os.ErrNotExist):
 		return records.New(newOrigin(o.Name)), nil
 	case err != nil:
-		return nil, fmt.Errorf("control plane: state %s: %w (it is kept as it is; without it this machine takes all from its peers)", o.StateFile, err)
+		return nil, fmt.Errorf("control plane: state file %s: %w (the file is left unchanged; without it, the server fetches all records from its peers)", o.StateFile, err)
 	}
 	return records.Restore(state), nil
 }
 
-// newOrigin returns the origin of a server that starts without a state. It is new each time, so that what was published before
-// and lost is never taken for what is published now.
+// newOrigin returns the origin of a server that starts without a state. It has a random part, so that versions which the server
+// assigned before it lost its state are never confused with those that it assigns now.
 func newOrigin(name string) string {
 	var nonce [originNonceBytes]byte
 	rand.Read(nonce[:])
 	return name + "." + hex.EncodeToString(nonce[:])
 }
 
-// persistLoop writes the state some time after it has changed, and once more at the end.
+// persistLoop writes the state file after changes, with a pause of saveInterval after each write. It writes unsaved changes when
+// the server closes.
 func (s *Server) persistLoop() {
 	for {
 		select {
@@ -68,7 +70,8 @@
 	}
 }
 
-// writeState writes the state as it is after a publication, which is prepared under the lock.
+// writeState writes the state that results from a publication. It calls prepare with the lock held; if prepare fails, nothing is
+// written.
 func (s *Server) writeState(prepare func() (records.Publication, error)) error {
 	s.stateFileMu.Lock()
 	defer s.stateFileMu.Unlock()
@@ -86,7 +89,7 @@
 	return nil
 }
 
-// markDirty has the state written.
+// markDirty requests a write of the state file.
 func (s *Server) markDirty() {
 	select {
 	case s.dirty <- struct{}{}:
--- a/internal/controlplane/publish.go
+++ b/internal/controlplane/publish.go
@@ -15,15 +15,17 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// maxResourceBytes leaves room for one resource in a message of 16 MiB, the default limit of a sidecar.
+// maxResourceBytes is the largest resource that can be published: a message of 16 MiB, the default limit of a sidecar, has room for
+// one such resource.
 const maxResourceBytes = 15 << 20
 
-// ErrInitialSync is returned while a server that has started waits for its peers: what it would publish could be taken for old.
+// ErrInitialSync is returned while a server that has just started waits for the records of its peers. A publication made before
+// that could be ordered before versions that the peers have, and would then not be applied.
 var ErrInitialSync = errors.New("control plane: it has just begun and is still hearing its peers; try again in a moment")
 
-// Publish publishes the resources of a response in protobuf JSON, if there is one, and removes resources by key
-// ("cluster/NAME", "endpoints/NAME"). Without an error all of it is in force, and stored. An error names all faults, and
-// nothing has changed.
+// Publish publishes the resources of a discovery response in protobuf JSON, unless text is empty, and removes resources by key
+// ("cluster/NAME", "endpoints/NAME"). A publication is atomic: on success, all changes are stored and in force. On failure,
+// nothing has changed, and the error lists all faults.
 func (s *Server) Publish(text []byte, remove []string) (api.Published, error) {
 	var resources []*anypb.Any
 	if len(text) > 0 {
@@ -87,8 +89,8 @@
 	return contents, faults
 }
 
-// storePublication prepares a publication and stores it. It is stored before it is sent: a version that was sent and then lost
-// would be assigned to another content.
+// storePublication prepares a publication and stores it. It is stored before it is sent: if a version that was already sent were
+// lost in a crash, the server would assign it again, to other content.
 func (s *Server) storePublication(contents []records.Content, faults []error) (p records.Publication, err error) {
 	err = s.writeState(func() (records.Publication, error) {
 		if !s.initialSync.IsComplete(time.Now()) {
--- a/internal/controlplane/records/initialsync.go
+++ b/internal/controlplane/records/initialsync.go
@@ -10,7 +10,7 @@
 	pending  map[string]bool
 }
 
-// NewInitialSync waits for peers until a deadline.
+// NewInitialSync returns an InitialSync that waits for the named peers until a deadline.
 func NewInitialSync(deadline time.Time, peers []string) *InitialSync {
 	s := &InitialSync{deadline: deadline, pending: map[string]bool{}}
 	for _, peer := range peers {
@@ -19,10 +19,10 @@
 	return s
 }
 
-// PeerSynced records that all records of a peer were merged.
+// PeerSynced notes that all records of a peer were merged.
 func (s *InitialSync) PeerSynced(peer string) { delete(s.pending, peer) }
 
-// IsComplete reports whether the peers are not waited for any more. Only then may something be published.
+// IsComplete reports whether all peers have synced or the deadline has passed. Until then nothing may be published.
 func (s *InitialSync) IsComplete(now time.Time) bool {
 	return len(s.pending) == 0 || !now.Before(s.deadline)
 }
@@ -32,5 +32,5 @@
 	return s.IsComplete(now) && !store.IsEmpty()
 }
 
-// Deadline returns when the peers are not waited for any more.
+// Deadline returns the time at which waiting for the peers ends.
 func (s *InitialSync) Deadline() time.Time { return s.deadline }
--- a/internal/controlplane/records/publish.go
+++ b/internal/controlplane/records/publish.go
@@ -12,11 +12,12 @@
 type Publication struct {
 	Version   Version
 	Records   []Record
-	Unchanged int // contents that are in force already
+	Unchanged int // number of contents that are in force already
 }
 
-// Prepare returns the publication of contents, or all faults in them. It changes nothing: the records are in force once they are
-// merged, which has to wait until they are stored. A version that was sent and not stored would be assigned twice.
+// Prepare returns the publication of contents, or all faults in them. It does not modify the store. The caller stores the
+// publication first and then merges its records, which puts them in force: a version that was sent but not stored would be
+// assigned twice.
 func (s *Store) Prepare(contents []Content) (p Publication, faults []error) {
 	next, faults := s.contentsByKey(contents)
 	faults = append(faults, s.danglingReferences(next)...)
@@ -45,7 +46,7 @@
 	return p, nil
 }
 
-// contentsByKey returns the contents by key.
+// contentsByKey returns the contents by key, and a fault for each duplicate and each removal of a missing resource.
 func (s *Store) contentsByKey(contents []Content) (next map[Key]Content, faults []error) {
 	next = map[Key]Content{}
 	for _, c := range contents {
@@ -74,8 +75,8 @@
 	return faults
 }
 
-// danglingReferences returns a fault for each cluster that would require a missing endpoint set: a subscriber would wait for it
-// in vain.
+// danglingReferences returns a fault for each cluster that would require a missing endpoint set, which its subscribers would never
+// receive.
 func (s *Store) danglingReferences(next map[Key]Content) (faults []error) {
 	for _, k := range slices.SortedFunc(maps.Keys(next), Key.Compare) {
 		c := next[k]
--- a/internal/controlplane/records/record.go
+++ b/internal/controlplane/records/record.go
@@ -1,5 +1,5 @@
-// Package records holds what a control-plane server has accepted, and merges what the servers send one another. It does no
-// I/O and reads no clock. A Store belongs to one host, which serialises all calls.
+// Package records holds the resources that a control-plane server has accepted, and merges the records that servers send each
+// other. It does no I/O and reads no clock. A Store belongs to one server, which serialises all calls.
 //
 // A record is one resource (a cluster or a set of endpoints) in one version, or its removal. It never changes: a change is a
 // new record. A version consists of a counter and the server that assigned it. A publication takes the highest counter that
@@ -20,10 +20,10 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// Version is the place of a publication among all. The zero Version is the oldest.
+// Version identifies a publication, and orders it among all others. The zero Version is the oldest.
 type Version struct {
 	Counter uint64 `codec:"Counter"`
-	Origin  string `codec:"Origin"` // of the server; a server that has lost its state gets another one
+	Origin  string `codec:"Origin"` // the server that assigned the version; a server that has lost its state gets a new origin
 }
 
 const (
@@ -37,7 +37,7 @@
 	return cmp.Or(cmp.Compare(v.Counter, other.Counter), strings.Compare(v.Origin, other.Origin))
 }
 
-// String returns the version as subscribers see it.
+// String returns the version in the form that is sent to subscribers. The zero Version is "".
 func (v Version) String() string {
 	if v == (Version{}) {
 		return ""
@@ -116,13 +116,13 @@
 	return cmp.Or(cmp.Compare(k.Kind, other.Kind), strings.Compare(k.Name, other.Name))
 }
 
-// Content is what is published of a resource.
+// Content is the published content of a resource, or its removal.
 type Content struct {
 	Key
 	Removed     bool     `codec:"Removed"`
 	Digest      [16]byte `codec:"Digest"`
-	Raw         []byte   `codec:"Raw"` // as subscribers get it; empty for a removed resource
-	EndpointSet string   `codec:"Set"` // of a cluster: the endpoint set that it requires; empty: none
+	Raw         []byte   `codec:"Raw"` // the encoded resource as sent to subscribers; empty for a removed resource
+	EndpointSet string   `codec:"Set"` // the endpoint set that a cluster requires; empty: none
 }
 
 // isSame reports whether two contents of a resource are equal.
@@ -134,10 +134,10 @@
 type Record struct {
 	Content
 	Version  Version       `codec:"Version"`
-	Ancestry VersionVector `codec:"Seen"` // of this resource, as seen by the server that assigned the version, before
+	Ancestry VersionVector `codec:"Seen"` // versions of this resource that the server had seen before it assigned Version
 }
 
-// Check returns an error for a record that no server sends.
+// Check returns an error if the record is invalid, so that no correct server sends it.
 func (r *Record) Check() error {
 	switch {
 	case r.Kind >= ads.KindCount || r.Name == "":
--- a/internal/controlplane/records/state.go
+++ b/internal/controlplane/records/state.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// SavedRecord is what is stored of a resource.
+// SavedRecord is the stored form of a resource's newest record.
 type SavedRecord struct {
 	Record   Record        `codec:"Record"`
 	Observed VersionVector `codec:"Knows"`
@@ -12,12 +12,12 @@
 type State struct {
 	Origin    string        `codec:"Origin"`
 	Counter   uint64        `codec:"Counter"`
-	Records   []SavedRecord `codec:"Records"` // a later one of a resource replaces those before it
+	Records   []SavedRecord `codec:"Records"` // a later record of a resource replaces an earlier one
 	Conflicts []Conflict    `codec:"Conflicts"`
 }
 
-// Save returns the state after a publication is merged; with a zero publication, the present state. The records must not be
-// modified.
+// Save returns the state that results from merging a publication, or the current state for a zero Publication. The records must
+// not be modified.
 func (s *Store) Save(p Publication) State {
 	state := State{
 		Origin:    s.origin,
--- a/internal/controlplane/records/store.go
+++ b/internal/controlplane/records/store.go
@@ -10,18 +10,19 @@
 
 // Bounds of a store.
 const (
-	// MaxResources is how many resources of each kind can be published, as subscribers keep no more. What several servers publish
-	// concurrently may exceed it.
+	// MaxResources limits the resources of each kind, as subscribers keep no more. Concurrent publications on several servers may
+	// together exceed it.
 	MaxResources = 10_000
-	// MaxRemoved is how many removed resources are remembered; beyond it the oldest is forgotten, and a server that was down
-	// through all of them may bring it back. At 1,400 changes a day these are at least a week's.
+	// MaxRemoved limits the removed resources that are remembered. Beyond it the oldest is forgotten. A server that was down
+	// during all these removals may then restore that resource. At 1,400 changes a day, the limit covers at least a week.
 	MaxRemoved   = 10_000
 	maxConflicts = 256 // that are reported; beyond it the oldest are forgotten
-	// maxCounterGap bounds what is believed of a counter that only a subscriber reports: some days' changes.
+	// maxCounterGap is how far a counter that only a subscriber reports may be ahead; it is ignored beyond that. The gap covers
+	// the changes of some days.
 	maxCounterGap = 10_000
 )
 
-// Conflict is two concurrent versions of a resource.
+// Conflict describes two concurrent versions of a resource. The winner is in force.
 type Conflict struct {
 	Key
 	Winner Version   `codec:"Winner"`
@@ -46,7 +47,7 @@
 	conflicts    []Conflict
 }
 
-// New returns an empty store. The origin is the server's, and new whenever it starts without its state.
+// New returns an empty store. The origin identifies the server; a server that starts without its state uses a new one.
 func New(origin string) *Store {
 	s := &Store{origin: origin, maxRemoved: MaxRemoved}
 	for k := range s.entries {
@@ -55,19 +56,19 @@
 	return s
 }
 
-// MergeResult is what became of a record.
+// MergeResult is the result of merging a record.
 type MergeResult uint8
 
 // The results.
 const (
-	Applied    MergeResult = iota // it is the newest
-	Unchanged                     // it was applied before
-	Superseded                    // a newer one is applied
+	Applied    MergeResult = iota // the record is the newest, and is now in force
+	Unchanged                     // the record was in force already
+	Superseded                    // a newer record is in force
 )
 
 func (r MergeResult) String() string { return [...]string{"taken", "same", "old"}[r] }
 
-// Merge merges a checked record of this server or another one. Records may come any number of times, and in any order.
+// Merge merges a checked record of this server or another one. Records may be merged any number of times, and in any order.
 func (s *Store) Merge(now time.Time, r Record) MergeResult {
 	s.counter = max(s.counter, r.Version.Counter)
 	e := s.entries[r.Kind][r.Name]
@@ -86,7 +87,7 @@
 		e.observed.add(Version{Counter: counter, Origin: origin})
 	}
 	if order < 0 {
-		if !wasObserved { // the newer record does not know of it: they are concurrent, and it has lost
+		if !wasObserved { // the newer record was made without knowledge of r: they are concurrent, and r has lost
 			s.addConflict(now, previous, r)
 		}
 		return Superseded
@@ -111,7 +112,7 @@
 	}
 }
 
-// addConflict records two concurrent records, unless they have the same content.
+// addConflict notes a conflict of two concurrent records, unless they have the same content.
 func (s *Store) addConflict(now time.Time, winner, loser Record) {
 	if winner.isSame(&loser.Content) {
 		return
@@ -126,8 +127,8 @@
 	s.conflicts = append(s.conflicts, c)
 }
 
-// forgetOldestRemoved bounds the removed resources that are remembered. All servers forget the same ones: those of the lowest
-// versions.
+// forgetOldestRemoved limits the removed resources that are remembered to maxRemoved. All servers forget the same ones: those with
+// the lowest versions.
 func (s *Store) forgetOldestRemoved() {
 	for s.removedCount > s.maxRemoved {
 		oldest := s.oldestRemoved()
@@ -148,8 +149,8 @@
 	return oldest
 }
 
-// ObserveVersion records a version that a subscriber has from another server, which may never be reached again. What is
-// published from now on is newer.
+// ObserveVersion raises the counter to that of a version which a subscriber has from another server, so that later publications
+// are newer. The other server may never be reachable again. A version beyond maxCounterGap is ignored.
 func (s *Store) ObserveVersion(v Version) {
 	if v.Counter > s.counter && v.Counter-s.counter <= maxCounterGap && s.counter > 0 {
 		s.counter = v.Counter
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -2,9 +2,9 @@
 // control-plane servers, and sends each sidecar what it has subscribed to, over the incremental aggregated discovery service of
 // xDS version 3 (docs/CONTROL-PLANE.md).
 //
-// It is the host of the packages records (which versions are in force) and distribution (what is sent to whom, and when): it
-// translates between them and sockets, files and the clock. A Server owns its listener, one goroutine for the state file, one
-// for each peer and two for each stream; Close ends them all.
+// Package records decides which versions are in force. Package distribution decides which resources are sent to which
+// subscriber, and when. Neither does I/O or reads the clock: this package connects them to sockets, files and the clock. A
+// Server owns its listener, one goroutine for the state file, one for each peer and two for each stream. Close ends them all.
 package controlplane
 
 import (
@@ -34,18 +34,18 @@
 	maxStateBytes = 1 << 30
 	saveInterval  = time.Second
 
-	// maxResponseBytes is below the smallest limit of a message that a sidecar may have, 64 KiB.
+	// maxResponseBytes is below 64 KiB, the smallest limit on messages that a sidecar may have.
 	maxResponseBytes = 60 << 10
-	// keepaliveDelay is below the default time after which a sidecar takes a silent control plane for failed, 5 s.
+	// keepaliveDelay is below 5 s, the default time after which a sidecar considers a silent control plane failed.
 	keepaliveDelay    = 2 * time.Second
-	maxNames          = 2*records.MaxResources + records.MaxRemoved // that one subscriber may subscribe to
-	maxRequestBytes   = 8 << 20                                     // as many names with their versions
-	streamBufferBytes = 4 << 10                                     // for each direction of a stream; there are hundreds of streams
+	maxNames          = 2*records.MaxResources + records.MaxRemoved // of a kind, for one subscriber
+	maxRequestBytes   = 8 << 20                                     // enough for maxNames names with their versions
+	streamBufferBytes = 4 << 10                                     // for each direction of a stream; small, as there are hundreds of streams
 
-	// A client that has failed or is paused is disconnected after these.
+	// A client that has failed or is paused is disconnected after keepaliveInterval and keepaliveTimeout.
 	keepaliveInterval    = 30 * time.Second
 	keepaliveTimeout     = 20 * time.Second
-	minKeepaliveInterval = 5 * time.Second // of a client's keepalives
+	minKeepaliveInterval = 5 * time.Second // the shortest that a client may use
 
 	originNonceBytes = 4
 	minAdvanceDelay  = time.Millisecond
@@ -62,16 +62,16 @@
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	publishMu   sync.Mutex    // held while a publication is made
+	publishMu   sync.Mutex    // serializes publications
 	stateFileMu sync.Mutex    // held while the state file is written
-	dirty       chan struct{} // holds a token when there is something to write
+	dirty       chan struct{} // holds a token when there are changes to write
 
 	mu           sync.Mutex // guards the fields below
 	store        *records.Store
 	initialSync  *records.InitialSync
 	distributor  *distribution.Distributor
 	streams      map[*distribution.Subscriber]*stream
-	streamCount  int // also those that have not identified themselves
+	streamCount  int // includes streams that have not identified themselves
 	peers        map[string]*peer
 	messageCount int64
 	byteCount    int64
@@ -183,7 +183,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends all streams, and writes the state.
+// Close ends all streams, and writes unsaved changes to the state file.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if s.closed {
@@ -200,8 +200,8 @@
 	s.goroutines.Wait()
 }
 
-// advance advances the distributor to the present: it opens it when the initial sync is complete, wakes the streams that may have
-// something to send, and sets the timer. The caller holds the lock.
+// advance brings the distributor up to the current time. It opens the distributor when the initial sync is complete, wakes the
+// streams that may have something to send, and sets the timer. The caller holds the lock.
 func (s *Server) advance() {
 	if s.closed {
 		return
@@ -220,7 +220,7 @@
 	s.setTimer(now)
 }
 
-// setTimer has advance called when there is something to do next. The caller holds the lock.
+// setTimer schedules the next call of advance, if one is needed. The caller holds the lock.
 func (s *Server) setTimer(now time.Time) {
 	next := s.distributor.NextStep()
 	deadline := s.initialSync.Deadline()
@@ -241,7 +241,7 @@
 	})
 }
 
-// merge applies a record where it is the newest. The caller holds the lock, and calls advance.
+// merge merges a record, and notifies the subscribers if it was applied. The caller holds the lock, and calls advance afterwards.
 func (s *Server) merge(r records.Record) {
 	if s.store.Merge(time.Now(), r) == records.Applied {
 		s.distributor.NotifyChange(r.Key)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) peerStatuses(report distribution.Report) []api.PeerStatus {
-	behind := map[string]int{} // records, by the name of a peer that subscribes to this server
+	behind := map[string]int{} // number of records, by the name of the subscribed peer
 	for subscriber, st := range report.Statuses {
 		if subscriber.Peer {
 			behind[subscriber.Name] = st.Behind
--- a/internal/controlplane/stream.go
+++ b/internal/controlplane/stream.go
@@ -18,7 +18,7 @@
 // deltaStream is the server's side of the gRPC stream.
 type deltaStream = discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer
 
-// unknownNackReason is the reason of a rejection that gives none.
+// unknownNackReason is recorded for a rejection without a reason.
 const unknownNackReason = "refused, without a reason"
 
 // stream is a subscriber's stream.
@@ -30,7 +30,7 @@
 
 	// Guarded by the server's lock:
 
-	subscriber              *distribution.Subscriber // nil: it has not identified itself
+	subscriber              *distribution.Subscriber // nil until the first request identifies it
 	ended                   bool
 	messageCount, byteCount int64
 }
@@ -58,7 +58,7 @@
 	return s.sendLoop(ctx, st)
 }
 
-// admitStream counts a stream, or rejects it over the bound.
+// admitStream counts a new stream, or rejects it if the limit on concurrent streams is reached.
 func (s *Server) admitStream() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,12 +133,12 @@
 // handleRequest handles a request. After an error the stream ends.
 func (s *Server) handleRequest(st *stream, m *discoveryv3.DeltaDiscoveryRequest) error {
 	k := kindOf(m.TypeUrl)
-	if k == distribution.KindCount { // of a client that supports more types
+	if k == distribution.KindCount { // ignored: a client may support types that are not served here
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if st.ended { // the request was received during the end of the stream
+	if st.ended { // the request arrived while the stream was being closed
 		return context.Canceled
 	}
 	s.identify(st, m)
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// identify adds the subscriber of a stream with its first request. The caller holds the lock.
+// identify registers the subscriber of a stream on its first request. The caller holds the lock.
 func (s *Server) identify(st *stream, m *discoveryv3.DeltaDiscoveryRequest) {
 	if st.subscriber != nil {
 		return
@@ -176,7 +176,7 @@
 	s.streams[st.subscriber] = st
 }
 
-// nackReason returns why the subscriber has rejected a response, or nothing.
+// nackReason returns why the subscriber has rejected a response, or "" if it has not rejected one.
 func nackReason(m *discoveryv3.DeltaDiscoveryRequest) string {
 	if reason := m.GetErrorDetail().GetMessage(); reason != "" || m.ErrorDetail == nil {
 		return reason
@@ -184,7 +184,7 @@
 	return unknownNackReason
 }
 
-// nextResponse returns the response to send on a stream now, or nil.
+// nextResponse returns the response to send on a stream now, or nil if there is none.
 func (s *Server) nextResponse(st *stream) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +192,7 @@
 		return nil, nil
 	}
 	r, ok := s.distributor.Next(time.Now(), st.subscriber)
-	defer s.advance() // the subscriber may have been queued
+	defer s.advance() // Next may have queued the subscriber
 	if !ok {
 		return nil, nil
 	}
--- a/internal/controlplane/wire.go
+++ b/internal/controlplane/wire.go
@@ -19,11 +19,12 @@
 )
 
 const (
-	// recordType is the type under which control-plane servers subscribe to one another's records. A record is encoded as the
-	// API's own message of a resource with its version; its metadata holds the version vector. A removed one holds no resource.
+	// recordType is the type URL under which control-plane servers subscribe to each other's records. A record is encoded as the
+	// Resource message of the discovery API, with the version vector in its metadata. For a removed resource, the message's
+	// resource field is empty.
 	recordType = "type.googleapis.com/envoy.service.discovery.v3.Resource"
-	// versionVectorKey is the key of the version vector in the metadata: counters by origin, as strings, since numbers there
-	// are floating-point.
+	// versionVectorKey is the key of the version vector in the metadata. The vector maps each origin to its counter. Counters are
+	// strings, as numbers in the metadata are floating-point.
 	versionVectorKey = "silvertrail.seen"
 )
 
@@ -32,7 +33,7 @@
 	return [...]string{envoy.ClusterType, envoy.EndpointsType, recordType}[k]
 }
 
-// kindOf returns the kind of a type URL, or distribution.Kinds for a type that is not served.
+// kindOf returns the kind of a type URL, or distribution.KindCount for a type that is not served.
 func kindOf(url string) distribution.Kind {
 	for k := range distribution.KindCount {
 		if typeOf(k) == url {
@@ -42,7 +43,7 @@
 	return distribution.KindCount
 }
 
-// encodeResource returns a record as the subscribers of a kind get it.
+// encodeResource encodes a record for the subscribers of a kind.
 func encodeResource(k distribution.Kind, r records.Record) (*discoveryv3.Resource, error) {
 	encoded := &discoveryv3.Resource{Name: nameOf(k, r), Version: r.Version.String()}
 	if !r.Removed {
@@ -132,7 +133,7 @@
 	return records.Content{Key: key, Digest: item.Digest, Raw: item.Raw, EndpointSet: requiredSet(item.Cluster)}, nil
 }
 
-// requiredSet returns the endpoint set that a cluster requires from its control plane.
+// requiredSet returns the name of the endpoint set that a cluster requires from its control plane, or "" if it requires none.
 func requiredSet(c *cache.Cluster) string {
 	if c == nil || c.EndpointsFile != "" {
 		return ""
