--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -16,25 +16,25 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// fakeCatalog is a catalog of endpoint sets.
+// fakeCatalog is a catalog that holds endpoint sets only.
 type fakeCatalog map[string]ResourceVersion
 
 func (c fakeCatalog) Find(k Kind, name string) (ResourceVersion, bool) {
-	o, ok := c[name]
-	return o, ok && k == EndpointSets
+	version, ok := c[name]
+	return version, ok && k == EndpointSets
 }
 
 func (c fakeCatalog) All(k Kind) iter.Seq2[string, ResourceVersion] {
 	return func(yield func(string, ResourceVersion) bool) {
-		for n, o := range c {
-			if k == EndpointSets && !yield(n, o) {
+		for name, version := range c {
+			if k == EndpointSets && !yield(name, version) {
 				return
 			}
 		}
 	}
 }
 
-// testServer is a control machine and what it has published.
+// testServer is a control-plane server with a simulated clock and a fake catalog.
 type testServer struct {
 	catalog     fakeCatalog
 	distributor *Distributor
@@ -45,344 +45,348 @@
 var testLimits = Limits{BytesPerSecond: 1000, MaxResponseBytes: 300, KeepaliveDelay: 2 * time.Second, MaxNames: 100}
 
 func newTestServer() *testServer {
-	w := &testServer{catalog: fakeCatalog{}, now: time.Unix(0, 0)}
-	w.restart()
-	return w
+	server := &testServer{catalog: fakeCatalog{}, now: time.Unix(0, 0)}
+	server.restart()
+	return server
 }
 
-// restart has the machine begin anew with what it has published.
-func (w *testServer) restart() {
-	w.distributor = New(w.now, testLimits, w.catalog)
-	w.distributor.Open()
+// restart replaces the distributor by a new one without subscribers. The catalog is kept.
+func (server *testServer) restart() {
+	server.distributor = New(server.now, testLimits, server.catalog)
+	server.distributor.Open()
 }
 
-func (w *testServer) publish(name string, size int, removed bool) {
-	w.counter++
-	w.catalog[name] = ResourceVersion{records.Version{Counter: w.counter, Origin: "m"}, size, removed}
-	w.distributor.NotifyChange(records.Key{Kind: ads.Endpoints, Name: name})
+func (server *testServer) publish(name string, size int, removed bool) {
+	server.counter++
+	server.catalog[name] = ResourceVersion{records.Version{Counter: server.counter, Origin: "m"}, size, removed}
+	server.distributor.NotifyChange(records.Key{Kind: ads.Endpoints, Name: name})
 }
 
-// testSubscriber is the other end of a stream.
+// testSubscriber is the client's end of a stream. It fails the test if a response breaks the protocol.
 type testSubscriber struct {
 	t              rapid.TB
 	server         *testServer
-	subscriber     *Subscriber
+	stream         *Subscriber
 	names          map[string]bool
 	wildcard       bool
 	resources      map[string]ResourceVersion
-	invalid        map[string]records.Version // what it can't use
+	invalid        map[string]records.Version // versions that it rejects, by name
 	started        bool
-	nonce          string // of the response that it has and has not answered
+	nonce          string // of the response that it has received and not answered
 	nackReason     string
 	receivedBytes  int
 	emptyResponses int
 	rejectedCount  int
 }
 
-func (r *testSubscriber) connect() {
-	r.subscriber, r.started, r.nonce = r.server.distributor.Join("r", false), false, ""
-	r.subscribe(slices.Sorted(maps.Keys(r.names)), nil)
+func (s *testSubscriber) connect() {
+	s.stream, s.started, s.nonce = s.server.distributor.Join("r", false), false, ""
+	s.subscribe(slices.Sorted(maps.Keys(s.names)), nil)
 }
 
-func (r *testSubscriber) subscribe(add, drop []string) {
-	q := Request{Kind: EndpointSets, Subscribe: add, Unsubscribe: drop}
-	if !r.started {
-		if !r.wildcard && len(add) == 0 {
+func (s *testSubscriber) subscribe(add, remove []string) {
+	request := Request{Kind: EndpointSets, Subscribe: add, Unsubscribe: remove}
+	if !s.started {
+		if !s.wildcard && len(add) == 0 {
 			return
 		}
-		q.InitialVersions = map[string]string{}
-		for n, o := range r.resources {
-			q.InitialVersions[n] = o.Version.String()
+		request.InitialVersions = map[string]string{}
+		for name, resource := range s.resources {
+			request.InitialVersions[name] = resource.Version.String()
 		}
 	}
-	r.started = true
-	if err := r.server.distributor.HandleRequest(r.server.now, r.subscriber, q); err != nil {
-		r.t.Fatal(err)
+	s.started = true
+	if err := s.server.distributor.HandleRequest(s.server.now, s.stream, request); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
-// receive takes a response, if there is one, and tells whether there was.
-func (r *testSubscriber) receive() bool {
-	m, ok := r.server.distributor.Next(r.server.now, r.subscriber)
+// receive receives the next response, and reports whether there was one.
+func (s *testSubscriber) receive() bool {
+	response, ok := s.server.distributor.Next(s.server.now, s.stream)
 	if !ok {
 		return false
 	}
-	if r.nonce != "" {
-		r.t.Fatal("two responses are in flight")
+	if s.nonce != "" {
+		s.t.Fatal("received a second response while the first one was in flight")
 	}
-	r.nonce, r.nackReason = m.Nonce, ""
-	r.receivedBytes += m.Bytes
-	if len(m.Names)+len(m.Removed) == 0 {
-		r.emptyResponses++
+	s.nonce, s.nackReason = response.Nonce, ""
+	s.receivedBytes += response.Bytes
+	if len(response.Names)+len(response.Removed) == 0 {
+		s.emptyResponses++
 	}
-	if len(m.Names)+len(m.Removed) > 1 && m.Bytes > testLimits.MaxResponseBytes {
-		r.t.Fatalf("a response of %d bytes", m.Bytes)
+	if len(response.Names)+len(response.Removed) > 1 && response.Bytes > testLimits.MaxResponseBytes {
+		s.t.Fatalf("response with several resources has %d bytes, over MaxResponseBytes", response.Bytes)
 	}
-	for _, n := range append(slices.Clone(m.Names), m.Removed...) {
-		o := r.server.catalog[n]
-		if !r.names[n] && !r.wildcard {
-			r.t.Fatalf("%s was not asked for", n)
+	for _, name := range append(slices.Clone(response.Names), response.Removed...) {
+		current := s.server.catalog[name]
+		if !s.names[name] && !s.wildcard {
+			s.t.Fatalf("received %s without a subscription", name)
 		}
-		if r.resources[n].Version.Compare(o.Version) > 0 {
-			r.t.Fatalf("%s goes back to %s", n, o.Version)
+		if s.resources[name].Version.Compare(current.Version) > 0 {
+			s.t.Fatalf("%s goes back to older version %s", name, current.Version)
 		}
-		if r.invalid[n] == o.Version {
-			r.nackReason += n + " can't be used;"
+		if s.invalid[name] == current.Version {
+			s.nackReason += name + " can't be used;"
 			continue
 		}
-		r.resources[n] = o
+		s.resources[name] = current
 	}
 	return true
 }
 
-func (r *testSubscriber) answer() {
-	if r.nonce != "" {
-		if r.nackReason != "" {
-			r.rejectedCount++
+// answer acknowledges or rejects the response in flight, if there is one.
+func (s *testSubscriber) answer() {
+	if s.nonce != "" {
+		if s.nackReason != "" {
+			s.rejectedCount++
 		}
-		if err := r.server.distributor.HandleRequest(r.server.now, r.subscriber, Request{Kind: EndpointSets, Nonce: r.nonce, NackReason: r.nackReason}); err != nil {
-			r.t.Fatal(err)
+		if err := s.server.distributor.HandleRequest(s.server.now, s.stream, Request{Kind: EndpointSets, Nonce: s.nonce, NackReason: s.nackReason}); err != nil {
+			s.t.Fatal(err)
 		}
-		r.nonce = ""
+		s.nonce = ""
 	}
 }
 
-// Receivers that are slow, are paused, break off, come back with what they have, or with nothing, and refuse some of what they
-// are sent, while much is published and removed and the machine begins anew: none goes back, none is sent what it has not asked
-// for, and in the end each has all of it, but what it can't use.
+// Subscribers are slow, pause, disconnect, reconnect with or without their state, and reject some resources. Meanwhile resources
+// are published and removed, and the server restarts. No resource may go back to an older version, and none may be sent without a
+// subscription. In the end, each subscriber has the newest version of all its resources except those that it rejects.
 func TestSubscribersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestServer()
+		server := newTestServer()
 		names := []string{"a", "b", "c", "d", "e"}
-		var rs []*testSubscriber
+		var subscribers []*testSubscriber
 		for i := range 4 {
-			r := &testSubscriber{t: t, server: w, names: map[string]bool{}, wildcard: i == 3, resources: map[string]ResourceVersion{}, invalid: map[string]records.Version{}}
-			if !r.wildcard {
-				for _, n := range rapid.SliceOfN(rapid.SampledFrom(names), 1, 4).Draw(t, "names") {
-					r.names[n] = true
+			subscriber := &testSubscriber{t: t, server: server, names: map[string]bool{}, wildcard: i == 3, resources: map[string]ResourceVersion{}, invalid: map[string]records.Version{}}
+			if !subscriber.wildcard {
+				for _, name := range rapid.SliceOfN(rapid.SampledFrom(names), 1, 4).Draw(t, "names") {
+					subscriber.names[name] = true
 				}
 			}
-			r.connect()
-			rs = append(rs, r)
+			subscriber.connect()
+			subscribers = append(subscribers, subscriber)
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			r := rapid.SampledFrom(rs).Draw(t, "receiver")
+			subscriber := rapid.SampledFrom(subscribers).Draw(t, "receiver")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1:
-				n := rapid.SampledFrom(names).Draw(t, "name")
-				w.publish(n, rapid.IntRange(1, 400).Draw(t, "size"), rapid.IntRange(0, 4).Draw(t, "removed") == 0)
+				name := rapid.SampledFrom(names).Draw(t, "name")
+				server.publish(name, rapid.IntRange(1, 400).Draw(t, "size"), rapid.IntRange(0, 4).Draw(t, "removed") == 0)
 				if rapid.IntRange(0, 3).Draw(t, "bad") == 0 {
-					r.invalid[n] = w.catalog[n].Version
+					subscriber.invalid[name] = server.catalog[name].Version
 				}
 			case 2, 3:
-				r.receive()
+				subscriber.receive()
 			case 4, 5:
-				r.answer()
+				subscriber.answer()
 			case 6:
-				w.now = w.now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
-				w.distributor.Step(w.now)
+				server.now = server.now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
+				server.distributor.Step(server.now)
 			case 7:
-				if n := rapid.SampledFrom(names).Draw(t, "name"); !r.wildcard && r.names[n] && len(r.names) > 1 {
-					delete(r.names, n)
-					delete(r.resources, n)
-					r.subscribe(nil, []string{n})
-				} else if !r.wildcard {
-					r.names[n] = true
-					delete(r.resources, n)
-					r.subscribe([]string{n}, nil)
+				if name := rapid.SampledFrom(names).Draw(t, "name"); !subscriber.wildcard && subscriber.names[name] && len(subscriber.names) > 1 {
+					delete(subscriber.names, name)
+					delete(subscriber.resources, name)
+					subscriber.subscribe(nil, []string{name})
+				} else if !subscriber.wildcard {
+					subscriber.names[name] = true
+					delete(subscriber.resources, name)
+					subscriber.subscribe([]string{name}, nil)
 				}
 			case 8:
-				w.distributor.Leave(r.subscriber)
+				server.distributor.Leave(subscriber.stream)
 				if rapid.Bool().Draw(t, "anew") {
-					clear(r.resources)
+					clear(subscriber.resources)
 				}
-				r.connect()
+				subscriber.connect()
 			case 9:
 				if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-					w.restart()
-					for _, r := range rs {
-						r.connect()
+					server.restart()
+					for _, subscriber := range subscribers {
+						subscriber.connect()
 					}
 				}
 			}
 		}
-		for range 100 { // all of them at work
-			w.now = w.now.Add(time.Second)
-			w.distributor.Step(w.now)
-			for _, r := range rs {
-				r.answer()
-				r.receive()
+		for range 100 { // all subscribers are responsive
+			server.now = server.now.Add(time.Second)
+			server.distributor.Step(server.now)
+			for _, subscriber := range subscribers {
+				subscriber.answer()
+				subscriber.receive()
 			}
 		}
-		report := w.distributor.Report(100)
-		by, lags := report.Statuses, report.Lags
+		report := server.distributor.Report(100)
+		statuses, lags := report.Statuses, report.Lags
 		behind := 0
-		for _, r := range rs {
-			for n, o := range w.catalog {
-				is, has := r.resources[n]
+		for _, subscriber := range subscribers {
+			for name, current := range server.catalog {
+				received, known := subscriber.resources[name]
 				switch {
-				case !r.wildcard && !r.names[n] || r.invalid[n] == o.Version || is.Version == o.Version || r.wildcard && o.Removed && !has:
+				case !subscriber.wildcard && !subscriber.names[name] || subscriber.invalid[name] == current.Version || received.Version == current.Version || subscriber.wildcard && current.Removed && !known:
 				default:
-					t.Errorf("%s is at %s, not at %s", n, is.Version, o.Version)
+					t.Errorf("%s has version %s, want %s", name, received.Version, current.Version)
 				}
 			}
-			if st := by[r.subscriber]; st.Behind != st.Rejected || st.InFlight || st.Waiting {
-				t.Errorf("%+v", st)
+			if status := statuses[subscriber.stream]; status.Behind != status.Rejected || status.InFlight || status.Waiting {
+				t.Errorf("%+v", status)
 			}
-			behind += by[r.subscriber].Behind
+			behind += statuses[subscriber.stream].Behind
 		}
 		if (behind > 0) != (len(lags) > 0) {
-			t.Errorf("%d behind, told are %v", behind, lags)
+			t.Errorf("subscribers are behind in %d resources, but the reported lags are %v", behind, lags)
 		}
 	})
 }
 
-// All come back at once, with nothing: what they are sent of first states keeps to the pace, in the order in which they came, a change
-// goes out to them and past them at once, and all have a sign of life before they would give up.
-func TestInitialStatesAreLimited(t *testing.T) {
-	w := newTestServer()
+// All subscribers reconnect at once, without any state. Initial states may not exceed the byte rate, and are sent in order of
+// arrival. A change is sent at once, whatever is queued. Each waiting subscriber is sent a keepalive by KeepaliveDelay, before it
+// would consider the server failed.
+func TestInitialStatesAreRateLimited(t *testing.T) {
+	server := newTestServer()
 	rng := rand.New(rand.NewPCG(43, 3))
-	var rs []*testSubscriber
+	var subscribers []*testSubscriber
 	for i := range 50 {
 		name := fmt.Sprint("n", i)
-		w.publish(name, 100+rng.IntN(100), false)
-		rs = append(rs, &testSubscriber{t: t, server: w, names: map[string]bool{name: true}, resources: map[string]ResourceVersion{}})
+		server.publish(name, 100+rng.IntN(100), false)
+		subscribers = append(subscribers, &testSubscriber{t: t, server: server, names: map[string]bool{name: true}, resources: map[string]ResourceVersion{}})
 	}
-	for _, r := range rs {
-		r.connect()
+	for _, subscriber := range subscribers {
+		subscriber.connect()
 	}
-	fast := &testSubscriber{t: t, server: w, names: map[string]bool{"news": true}, resources: map[string]ResourceVersion{}}
-	fast.connect()
-	fast.receive()
-	fast.answer()
-	sent, last, missing := 0, -1, len(rs)
-	for at := time.Duration(0); missing > 0; at += 100 * time.Millisecond {
-		if at > time.Minute {
-			t.Fatal("it never ends")
+	upToDate := &testSubscriber{t: t, server: server, names: map[string]bool{"news": true}, resources: map[string]ResourceVersion{}}
+	upToDate.connect()
+	upToDate.receive()
+	upToDate.answer()
+	sent, last, missing := 0, -1, len(subscribers)
+	for elapsed := time.Duration(0); missing > 0; elapsed += 100 * time.Millisecond {
+		if elapsed > time.Minute {
+			t.Fatal("not all initial states were sent within one minute")
 		}
-		w.now = time.Unix(0, 0).Add(at)
-		w.distributor.Step(w.now)
+		server.now = time.Unix(0, 0).Add(elapsed)
+		server.distributor.Step(server.now)
 		missing = 0
-		for i, r := range rs {
-			was := len(r.resources)
-			for r.receive() {
-				r.answer()
+		for i, subscriber := range subscribers {
+			before := len(subscriber.resources)
+			for subscriber.receive() {
+				subscriber.answer()
 			}
-			if len(r.resources) > was {
+			if len(subscriber.resources) > before {
 				if i < last {
-					t.Errorf("%d was sent its state before %d, which came later", last, i)
+					t.Errorf("subscriber %d was sent its initial state before subscriber %d, which was queued earlier", last, i)
 				}
 				last = i
 			}
-			if len(r.resources) == 0 {
+			if len(subscriber.resources) == 0 {
 				missing++
 			}
-			if at >= testLimits.KeepaliveDelay && r.emptyResponses == 0 && len(r.resources) == 0 {
-				t.Fatalf("%d has heard nothing after %v", i, at)
+			if elapsed >= testLimits.KeepaliveDelay && subscriber.emptyResponses == 0 && len(subscriber.resources) == 0 {
+				t.Fatalf("waiting subscriber %d was sent no keepalive within %v", i, elapsed)
 			}
 		}
 		total := 0
-		for _, r := range rs {
-			total += r.receivedBytes
+		for _, subscriber := range subscribers {
+			total += subscriber.receivedBytes
 		}
-		if most := float64(testLimits.BytesPerSecond)*at.Seconds() + float64(testLimits.MaxResponseBytes)*2; float64(total) > most {
-			t.Fatalf("%d bytes after %v, over %v", total, at, most)
+		if limit := float64(testLimits.BytesPerSecond)*elapsed.Seconds() + float64(testLimits.MaxResponseBytes)*2; float64(total) > limit {
+			t.Fatalf("%d bytes were sent within %v, over the limit of %v", total, elapsed, limit)
 		}
 		sent = total
-		w.publish("news", 50, false)
-		if fast.receive(); fast.resources["news"] != w.catalog["news"] {
-			t.Fatalf("a change waits behind %d first states", missing)
+		server.publish("news", 50, false)
+		if upToDate.receive(); upToDate.resources["news"] != server.catalog["news"] {
+			t.Fatalf("a change was not sent at once while %d initial states were pending", missing)
 		}
-		fast.answer()
+		upToDate.answer()
 	}
-	if d := w.now.Sub(time.Unix(0, 0)).Seconds() - float64(sent)/float64(testLimits.BytesPerSecond); d > 1 {
-		t.Errorf("the pace was not used: %v s too long", d)
+	if excess := server.now.Sub(time.Unix(0, 0)).Seconds() - float64(sent)/float64(testLimits.BytesPerSecond); excess > 1 {
+		t.Errorf("sending the initial states took %v s longer than the byte rate requires", excess)
 	}
-	if w.distributor.WaitingCount() != 0 || !w.distributor.NextStep().IsZero() {
-		t.Errorf("%d wait", w.distributor.WaitingCount())
+	if server.distributor.WaitingCount() != 0 || !server.distributor.NextStep().IsZero() {
+		t.Errorf("%d subscribers are still queued", server.distributor.WaitingCount())
 	}
 }
 
-// What a paused receiver costs does not grow with what changes, and it gets the newest state once.
-func TestPaused(t *testing.T) {
-	w := newTestServer()
-	r := &testSubscriber{t: t, server: w, names: map[string]bool{"a": true, "b": true}, resources: map[string]ResourceVersion{}}
-	w.publish("a", 10, false)
-	r.connect()
-	r.receive()
+// The cost of a paused subscriber may not grow with the number of changes: only one response is in flight, and after the pause the
+// subscriber gets the newest state once.
+func TestPausedSubscriberReceivesNewestStateOnce(t *testing.T) {
+	server := newTestServer()
+	subscriber := &testSubscriber{t: t, server: server, names: map[string]bool{"a": true, "b": true}, resources: map[string]ResourceVersion{}}
+	server.publish("a", 10, false)
+	subscriber.connect()
+	subscriber.receive()
 	for range 1000 {
-		w.publish("a", 10, false)
-		w.publish("b", 10, false)
-		if r.receive() {
-			t.Fatal("sent before the one in flight was answered")
+		server.publish("a", 10, false)
+		server.publish("b", 10, false)
+		if subscriber.receive() {
+			t.Fatal("a second response was sent before the response in flight was answered")
 		}
 	}
-	r.answer()
-	if before := r.receivedBytes; !r.receive() || r.receivedBytes != before+20 || r.resources["a"] != w.catalog["a"] || r.resources["b"] != w.catalog["b"] {
-		t.Errorf("%d bytes, %v", r.receivedBytes-before, r.resources)
+	subscriber.answer()
+	if before := subscriber.receivedBytes; !subscriber.receive() || subscriber.receivedBytes != before+20 || subscriber.resources["a"] != server.catalog["a"] || subscriber.resources["b"] != server.catalog["b"] {
+		t.Errorf("received %d bytes after the pause, resources %v; want the newest version of both resources once", subscriber.receivedBytes-before, subscriber.resources)
 	}
 }
 
-// A response that is refused is sent again one resource at a time, once: then it is known which can't be used, until it changes.
-func TestRejectedResponses(t *testing.T) {
-	w := newTestServer()
-	r := &testSubscriber{t: t, server: w, names: map[string]bool{"a": true, "b": true, "c": true}, resources: map[string]ResourceVersion{}, invalid: map[string]records.Version{}}
-	for n := range r.names {
-		w.publish(n, 10, false)
+// The resources of a rejected response are sent again once, one in each response. This shows which resource is invalid. That one is
+// reported, and not sent again until it changes.
+func TestRejectedResponseIsResentOneByOne(t *testing.T) {
+	server := newTestServer()
+	subscriber := &testSubscriber{t: t, server: server, names: map[string]bool{"a": true, "b": true, "c": true}, resources: map[string]ResourceVersion{}, invalid: map[string]records.Version{}}
+	for name := range subscriber.names {
+		server.publish(name, 10, false)
 	}
-	r.invalid["b"] = w.catalog["b"].Version
-	r.connect()
+	subscriber.invalid["b"] = server.catalog["b"].Version
+	subscriber.connect()
 	responses := 0
-	for r.receive() {
+	for subscriber.receive() {
 		responses++
-		r.answer()
+		subscriber.answer()
 	}
-	report := w.distributor.Report(10)
-	lags, refused := report.Lags, report.Rejections
-	if responses != 4 || len(refused) != 1 || refused[0].Name != "b" || !strings.Contains(refused[0].Reason, "b can't") || len(lags) != 1 || lags[0].Version != r.invalid["b"] {
-		t.Errorf("%d responses, %+v, %+v", responses, refused, lags)
+	report := server.distributor.Report(10)
+	lags, rejections := report.Lags, report.Rejections
+	if responses != 4 || len(rejections) != 1 || rejections[0].Name != "b" || !strings.Contains(rejections[0].Reason, "b can't") || len(lags) != 1 || lags[0].Version != subscriber.invalid["b"] {
+		t.Errorf("%d responses, want 4; rejections %+v and lags %+v, want only the invalid version of b", responses, rejections, lags)
 	}
-	w.publish("b", 10, false)
-	if r.receive(); r.resources["b"] != w.catalog["b"] {
-		t.Error("the next version was not sent")
+	server.publish("b", 10, false)
+	if subscriber.receive(); subscriber.resources["b"] != server.catalog["b"] {
+		t.Error("the version after the rejected one was not sent")
 	}
-	r.answer()
-	if report := w.distributor.Report(10); len(report.Lags)+len(report.Rejections) > 0 {
-		t.Errorf("%v, %v", report.Lags, report.Rejections)
+	subscriber.answer()
+	if report := server.distributor.Report(10); len(report.Lags)+len(report.Rejections) > 0 {
+		t.Errorf("reported lags %v and rejections %v, want none", report.Lags, report.Rejections)
 	}
 }
 
-// Before a machine is open only other control machines are served; a receiver that is ahead of it is told nothing; nobody but a
-// peer gets records.
-func TestBeforeOpen(t *testing.T) {
-	w := newTestServer()
-	w.publish("a", 10, false)
-	w.distributor = New(w.now, testLimits, w.catalog)
-	r := &testSubscriber{t: t, server: w, names: map[string]bool{"a": true}, resources: map[string]ResourceVersion{}}
-	r.connect()
-	if r.receive() {
-		t.Error("served before it is open")
+// Until the distributor is open, it serves other control-plane servers only. Records are sent to peers only. A subscriber that has a
+// newer version than the server is sent no resource.
+func TestOnlyPeersAreServedBeforeOpen(t *testing.T) {
+	server := newTestServer()
+	server.publish("a", 10, false)
+	server.distributor = New(server.now, testLimits, server.catalog)
+	subscriber := &testSubscriber{t: t, server: server, names: map[string]bool{"a": true}, resources: map[string]ResourceVersion{}}
+	subscriber.connect()
+	if subscriber.receive() {
+		t.Error("a sidecar was served before the distributor was open")
 	}
-	p := w.distributor.Join("p", true)
-	if err := w.distributor.HandleRequest(w.now, p, Request{Kind: Records}); err != nil {
+	peer := server.distributor.Join("p", true)
+	if err := server.distributor.HandleRequest(server.now, peer, Request{Kind: Records}); err != nil {
 		t.Fatal(err)
 	}
-	if m, ok := w.distributor.Next(w.now, p); !ok || !m.Complete {
-		t.Errorf("a peer is not served: %+v", m)
+	if response, ok := server.distributor.Next(server.now, peer); !ok || !response.Complete {
+		t.Errorf("response to a peer before the distributor is open: %+v, want a complete one", response)
 	}
-	if err := w.distributor.HandleRequest(w.now, r.subscriber, Request{Kind: Records}); err == nil {
-		t.Error("records for a receiver")
+	if err := server.distributor.HandleRequest(server.now, subscriber.stream, Request{Kind: Records}); err == nil {
+		t.Error("a sidecar could subscribe to records")
 	}
-	w.distributor.Open()
-	ahead := &testSubscriber{t: t, server: w, names: map[string]bool{"a": true}, resources: map[string]ResourceVersion{"a": {Version: records.Version{Counter: 9, Origin: "z"}}}}
+	server.distributor.Open()
+	ahead := &testSubscriber{t: t, server: server, names: map[string]bool{"a": true}, resources: map[string]ResourceVersion{"a": {Version: records.Version{Counter: 9, Origin: "z"}}}}
 	ahead.connect()
 	if ahead.receive(); ahead.receivedBytes > 0 || ahead.emptyResponses != 1 {
-		t.Errorf("one that is ahead was sent %d bytes", ahead.receivedBytes)
+		t.Errorf("a subscriber with a newer version was sent %d bytes, want one empty response", ahead.receivedBytes)
 	}
-	if by := w.distributor.Report(1).Statuses; by[ahead.subscriber].Ahead != 1 || by[ahead.subscriber].Behind != 0 {
-		t.Errorf("one that is ahead: %+v", by[ahead.subscriber])
+	if statuses := server.distributor.Report(1).Statuses; statuses[ahead.stream].Ahead != 1 || statuses[ahead.stream].Behind != 0 {
+		t.Errorf("status of a subscriber with a newer version: %+v, want 1 ahead and 0 behind", statuses[ahead.stream])
 	}
-	if !r.receive() || r.resources["a"] != w.catalog["a"] {
-		t.Error("not served once it is open")
+	if !subscriber.receive() || subscriber.resources["a"] != server.catalog["a"] {
+		t.Error("a sidecar was not served after the distributor was opened")
 	}
 }
