--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -228,7 +228,7 @@
 				}
 			}
 			if status := statuses[subscriber.stream]; status.Behind != status.Rejected || status.InFlight || status.Waiting {
-				t.Errorf("%+v", status)
+				t.Errorf("status %+v, want all resources acknowledged or rejected, nothing in flight and nothing queued", status)
 			}
 			behind += statuses[subscriber.stream].Behind
 		}
