--- a/internal/controlplane/format_test.go
+++ b/internal/controlplane/format_test.go
@@ -22,7 +22,7 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// The state file is written as recorded, and a recorded one is read.
+// The state file is written in the recorded format, and a file in that format is read back without loss.
 func TestStateFileFormat(t *testing.T) {
 	var state records.State
 	golden.Fill(&state)
@@ -50,7 +50,7 @@
 	}
 }
 
-// A record is sent to other control-plane servers as recorded, and a recorded one is read as the same record.
+// A record is sent to other control-plane servers in the recorded format, and a message in that format is parsed as the same record.
 func TestRecordFormat(t *testing.T) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(&clusterv3.Cluster{Name: "cluster-a",
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
@@ -93,7 +93,7 @@
 	}
 }
 
-// What the control socket tells of a control-plane server.
+// The control socket returns the status of a control-plane server and the result of a publication in the recorded JSON form.
 func TestStatusFormat(t *testing.T) {
 	for name, value := range map[string]any{"status": &api.Status{}, "published": &api.Published{}} {
 		golden.Fill(value)
@@ -105,7 +105,7 @@
 	}
 }
 
-// The names of kinds stand in commands, refusals and record keys.
+// The names of kinds are part of commands, error messages and record keys, and do not change.
 func TestKindNames(t *testing.T) {
 	var names []string
 	for k := range distribution.KindCount {
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -30,6 +30,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// startServer starts a server without TLS, by default on a free port.
 func startServer(t testing.TB, o api.Options) *Server {
 	t.Helper()
 	o.Insecure = true
@@ -44,7 +45,7 @@
 	return s
 }
 
-// clusterWithEndpoints is a cluster and its endpoint set.
+// clusterWithEndpoints returns a cluster and its endpoint set, which has one endpoint.
 func clusterWithEndpoints(name string, port int) []proto.Message {
 	return []proto.Message{xdsserver.Cluster(name), endpointSet(name, port)}
 }
@@ -62,19 +63,19 @@
 	return p
 }
 
-func packResources(t testing.TB, all ...proto.Message) (out []*anypb.Any) {
+func packResources(t testing.TB, all ...proto.Message) (packed []*anypb.Any) {
 	t.Helper()
 	for _, m := range all {
-		a, err := anypb.New(m)
+		resource, err := anypb.New(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, a)
+		packed = append(packed, resource)
 	}
-	return out
+	return packed
 }
 
-// testSidecar follows a cluster as a sidecar does.
+// testSidecar is the xDS client of a sidecar that follows one cluster.
 type testSidecar struct {
 	client *xds.Client
 	mu     sync.Mutex
@@ -83,226 +84,231 @@
 
 func startSidecar(t testing.TB, node, cluster string, addresses ...string) *testSidecar {
 	t.Helper()
-	o := bootstrap.Options{Variant: ads.Delta, Node: bootstrap.Node{ID: node}, DeferTime: 30 * time.Second, ResourceTimeout: 15 * time.Second, KeepaliveTime: 5 * time.Minute,
+	options := bootstrap.Options{Variant: ads.Delta, Node: bootstrap.Node{ID: node}, DeferTime: 30 * time.Second, ResourceTimeout: 15 * time.Second, KeepaliveTime: 5 * time.Minute,
 		MaxMessageBytes: 16 << 20, Selection: selection.Timing{ResponseTimeout: 5 * time.Second, Probation: 10 * time.Second, MinBackoff: time.Millisecond, MaxBackoff: 50 * time.Millisecond}}
-	for _, a := range addresses {
-		o.ControlPlanes = append(o.ControlPlanes, bootstrap.ControlPlane{Name: a, Address: a, Insecure: true})
+	for _, address := range addresses {
+		options.ControlPlanes = append(options.ControlPlanes, bootstrap.ControlPlane{Name: address, Address: address, Insecure: true})
 	}
-	r := &testSidecar{client: xds.Start(o, slog.New(slog.DiscardHandler))}
+	sidecar := &testSidecar{client: xds.Start(options, slog.New(slog.DiscardHandler))}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() {
-		r.client.Follow(ctx, cluster, func(v cache.ClusterView) {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.view = v
+		sidecar.client.Follow(ctx, cluster, func(v cache.ClusterView) {
+			sidecar.mu.Lock()
+			defer sidecar.mu.Unlock()
+			sidecar.view = v
 		})
 	})
 	t.Cleanup(func() {
 		cancel()
 		done.Wait()
-		r.client.Close()
+		sidecar.client.Close()
 	})
-	return r
+	return sidecar
 }
 
-// observedAddress tells the address that the cluster has, or its state.
-func (r *testSidecar) observedAddress() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.view.State != cache.Ready {
-		return r.view.State.String()
+// portOrState returns the port of the cluster's first endpoint, or the state of a cluster that is not ready.
+func (sidecar *testSidecar) portOrState() string {
+	sidecar.mu.Lock()
+	defer sidecar.mu.Unlock()
+	if sidecar.view.State != cache.Ready {
+		return sidecar.view.State.String()
 	}
-	return strings.TrimPrefix(r.view.Set.Localities[0].Endpoints[0].Address, "127.0.0.1:")
+	return strings.TrimPrefix(sidecar.view.Set.Localities[0].Endpoints[0].Address, "127.0.0.1:")
 }
 
-func (r *testSidecar) awaitAddress(t testing.TB, want string) {
+// await waits for a port of the cluster's first endpoint, or for a state of the cluster.
+func (sidecar *testSidecar) await(t testing.TB, want string) {
 	t.Helper()
-	if !lbtest.Eventually(func() bool { return r.observedAddress() == want }) {
-		t.Fatalf("it sees %s, not %s", r.observedAddress(), want)
+	if !lbtest.Eventually(func() bool { return sidecar.portOrState() == want }) {
+		t.Fatalf("cluster has port or state %s, want %s", sidecar.portOrState(), want)
 	}
 }
 
-// subscriberStatus returns what a machine tells of one.
-func subscriberStatus(s *Server, node string) (out api.Subscriber) {
-	for _, sub := range s.Status().Subscribers {
-		if sub.Node == node {
-			out = sub
+// subscriberStatus returns the status of a server's subscriber, by its node ID.
+func subscriberStatus(s *Server, node string) (status api.Subscriber) {
+	for _, subscriber := range s.Status().Subscribers {
+		if subscriber.Node == node {
+			status = subscriber
 		}
 	}
-	return out
+	return status
 }
 
-// A receiver is sent what it follows and nothing else, changes of that alone, and what is removed is gone; all of it is counted
-// as in force once it is acknowledged. What a receiver of one cluster is sent does not grow with the fleet's.
-func TestSubscriptionScope(t *testing.T) {
-	s := startServer(t, api.Options{Name: "m"})
-	r := startSidecar(t, "r", "mine", s.Addr())
-	if s.Status().Ready {
-		t.Error("one that knows nothing serves receivers")
+// A sidecar is sent the resources that it has subscribed to, their changes and their removal, and nothing else. Resources count as in
+// force once they are acknowledged. The size of the initial state of one cluster does not grow with the number of other clusters.
+func TestSidecarReceivesOnlySubscribedResources(t *testing.T) {
+	server := startServer(t, api.Options{Name: "m"})
+	sidecar := startSidecar(t, "r", "mine", server.Addr())
+	if server.Status().Ready {
+		t.Error("a server without records is ready to serve sidecars")
 	}
-	publish(t, s, nil, clusterWithEndpoints("mine", 1)...)
-	r.awaitAddress(t, "1")
+	publish(t, server, nil, clusterWithEndpoints("mine", 1)...)
+	sidecar.await(t, "1")
 	var others []proto.Message
 	for i := range 200 {
 		others = append(others, clusterWithEndpoints(fmt.Sprint("other-", i), 1000+i)...)
 	}
-	before := subscriberStatus(s, "r")
-	publish(t, s, nil, others...)
-	publish(t, s, nil, endpointSet("mine", 2))
-	r.awaitAddress(t, "2")
-	lbtest.Until(t, "all is in force", func() bool { return len(s.Status().Versions) == 0 })
-	if after := subscriberStatus(s, "r"); after.Messages != before.Messages+1 || after.Bytes-before.Bytes > 500 || after.Subscribed != 2 {
-		t.Errorf("%+v before, %+v after", before, after)
+	before := subscriberStatus(server, "r")
+	publish(t, server, nil, others...)
+	publish(t, server, nil, endpointSet("mine", 2))
+	sidecar.await(t, "2")
+	lbtest.Until(t, "all versions are acknowledged", func() bool { return len(server.Status().Versions) == 0 })
+	if after := subscriberStatus(server, "r"); after.Messages != before.Messages+1 || after.Bytes-before.Bytes > 500 || after.Subscribed != 2 {
+		t.Errorf("subscriber status %+v before the change, %+v after it; want one more message of at most 500 bytes, and 2 names", before, after)
 	}
-	small := startSidecar(t, "late", "mine", s.Addr())
-	small.awaitAddress(t, "2")
-	if is := subscriberStatus(s, "late"); is.Bytes > 1500 {
-		t.Errorf("a first state of one cluster among 201: %d bytes", is.Bytes)
+	lateSidecar := startSidecar(t, "late", "mine", server.Addr())
+	lateSidecar.await(t, "2")
+	if status := subscriberStatus(server, "late"); status.Bytes > 1500 {
+		t.Errorf("the initial state of one cluster among 201 took %d bytes, want at most 1500", status.Bytes)
 	}
-	publish(t, s, []string{"cluster/mine", "endpoints/mine"})
-	r.awaitAddress(t, "removed")
-	if st := s.Status(); st.Clusters != 200 || st.Removed != 2 {
-		t.Errorf("%+v", st)
+	publish(t, server, []string{"cluster/mine", "endpoints/mine"})
+	sidecar.await(t, "removed")
+	if status := server.Status(); status.Clusters != 200 || status.Removed != 2 {
+		t.Errorf("status %+v, want 200 clusters and 2 removed resources", status)
 	}
 }
 
-// What can't be used is refused whole, with every fault and its place, and what holds stays.
-func TestInvalidPublications(t *testing.T) {
-	s := startServer(t, api.Options{Name: "m"})
-	publish(t, s, nil, clusterWithEndpoints("a", 1)...)
-	r := startSidecar(t, "r", "a", s.Addr())
-	r.awaitAddress(t, "1")
+// A publication with invalid resources is rejected as a whole. The error lists every fault with its place, and the published state
+// does not change.
+func TestInvalidPublicationIsRejectedAsAWhole(t *testing.T) {
+	server := startServer(t, api.Options{Name: "m"})
+	publish(t, server, nil, clusterWithEndpoints("a", 1)...)
+	sidecar := startSidecar(t, "r", "a", server.Addr())
+	sidecar.await(t, "1")
 	badCluster, badSet := xdsserver.Cluster("b"), endpointSet("c", 1)
 	badCluster.LbPolicy = clusterv3.Cluster_RING_HASH
-	twice := xdsserver.EndpointSet("d", "z", xdsserver.Endpoint("127.0.0.1:1", 0, 1), xdsserver.Endpoint("127.0.0.1:1", 0, 1))
-	_, err := s.PublishResources(append(packResources(t, endpointSet("a", 2), badCluster, twice, badSet), &anypb.Any{TypeUrl: "x"}), []string{"clusters/a", "endpoints/a"})
+	duplicateEndpoint := xdsserver.EndpointSet("d", "z", xdsserver.Endpoint("127.0.0.1:1", 0, 1), xdsserver.Endpoint("127.0.0.1:1", 0, 1))
+	_, err := server.PublishResources(append(packResources(t, endpointSet("a", 2), badCluster, duplicateEndpoint, badSet), &anypb.Any{TypeUrl: "x"}), []string{"clusters/a", "endpoints/a"})
 	for _, want := range []string{"resources[1]: cluster/b: lb_policy", "resources[2]: endpoints/d: endpoints[0].lb_endpoints[1]", `resources[4]: of type "x"`,
 		`remove: "clusters/a"`, "endpoints/a: told twice"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in %v", want, err)
+			t.Errorf("no %q in error: %v", want, err)
 		}
 	}
-	if _, err := s.Publish([]byte(`{"resources": [{"@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster", "nam": "a"}]}`), nil); err == nil || !strings.Contains(err.Error(), `"nam"`) {
+	if _, err := server.Publish([]byte(`{"resources": [{"@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster", "nam": "a"}]}`), nil); err == nil || !strings.Contains(err.Error(), `"nam"`) {
 		t.Error(err)
 	}
-	if _, err := s.Publish(nil, nil); err == nil {
-		t.Error("nothing was published")
+	if _, err := server.Publish(nil, nil); err == nil {
+		t.Error("an empty publication was accepted")
 	}
-	if st := s.Status(); st.Counter != 1 || st.Sets != 1 || r.observedAddress() != "1" {
-		t.Errorf("%+v, %s", st, r.observedAddress())
+	if status := server.Status(); status.Counter != 1 || status.Sets != 1 || sidecar.portOrState() != "1" {
+		t.Errorf("status %+v and port %s after rejected publications, want counter 1, one endpoint set and port 1", status, sidecar.portOrState())
 	}
 }
 
-// A machine that begins anew goes on from what it kept, with versions that were never given; one whose state is torn says so and
-// touches nothing; one that has lost it is another origin.
-func TestRestart(t *testing.T) {
-	o := api.Options{Name: "m", StateFile: filepath.Join(t.TempDir(), "state")}
-	s := startServer(t, o)
-	first := publish(t, s, nil, clusterWithEndpoints("a", 1)...)
-	o.Listen = s.Addr()
-	r := startSidecar(t, "r", "a", s.Addr())
-	r.awaitAddress(t, "1")
-	s.Close()
-	s = startServer(t, o)
-	second := publish(t, s, nil, endpointSet("a", 2))
-	r.awaitAddress(t, "2")
-	if a, b := strings.TrimPrefix(first.Version, "1-"), strings.TrimPrefix(second.Version, "2-"); a != b {
-		t.Errorf("%s, then %s", first.Version, second.Version)
+// A server that restarts with its state file keeps its origin, and assigns versions that were never assigned. A truncated state file
+// prevents the start. A server that has lost its state file uses another origin.
+func TestRestartRestoresState(t *testing.T) {
+	options := api.Options{Name: "m", StateFile: filepath.Join(t.TempDir(), "state")}
+	server := startServer(t, options)
+	first := publish(t, server, nil, clusterWithEndpoints("a", 1)...)
+	options.Listen = server.Addr()
+	sidecar := startSidecar(t, "r", "a", server.Addr())
+	sidecar.await(t, "1")
+	server.Close()
+	server = startServer(t, options)
+	second := publish(t, server, nil, endpointSet("a", 2))
+	sidecar.await(t, "2")
+	if firstOrigin, secondOrigin := strings.TrimPrefix(first.Version, "1-"), strings.TrimPrefix(second.Version, "2-"); firstOrigin != secondOrigin {
+		t.Errorf("version %s before the restart, %s after it; want the same origin and the next counter", first.Version, second.Version)
 	}
-	s.Close()
-	text, err := os.ReadFile(o.StateFile)
+	server.Close()
+	text, err := os.ReadFile(options.StateFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(o.StateFile, text[:len(text)-1], 0o600); err != nil {
+	if err := os.WriteFile(options.StateFile, text[:len(text)-1], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o.Insecure = true
-	if s, err := Start(o, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), o.StateFile) {
+	options.Insecure = true
+	if server, err := Start(options, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), options.StateFile) {
 		if err == nil {
-			s.Close()
+			server.Close()
 		}
-		t.Errorf("torn: %v", err)
+		t.Errorf("start with a truncated state file: error %v, want one that names the file", err)
 	}
-	if err := os.Remove(o.StateFile); err != nil {
+	if err := os.Remove(options.StateFile); err != nil {
 		t.Fatal(err)
 	}
-	s = startServer(t, o)
-	if third := publish(t, s, nil, clusterWithEndpoints("b", 1)...); third.Version[2:] == first.Version[2:] {
-		t.Errorf("%s, then %s by one that knows nothing of it", first.Version, third.Version)
+	server = startServer(t, options)
+	if third := publish(t, server, nil, clusterWithEndpoints("b", 1)...); third.Version[2:] == first.Version[2:] {
+		t.Errorf("version %s with the state file, %s after its loss; want another origin", first.Version, third.Version)
 	}
-	if r.observedAddress() != "2" {
-		t.Errorf("what it does not know to be removed is %s", r.observedAddress())
+	if sidecar.portOrState() != "2" {
+		t.Errorf("resource that the server does not know: port or state %s, want port 2 as before", sidecar.portOrState())
 	}
 }
 
-// Machines tell one another what is published, also what was removed, whichever begins first; one that begins anew with nothing
-// takes all from its peer before it serves; what can't be had from a subscriber's machine it has from the other.
-func TestPeers(t *testing.T) {
-	l := lbtest.Listen(t)
-	o := api.Options{Name: "a", Listen: l.Addr().String(), InitialSync: time.Minute}
-	b := startServer(t, api.Options{Name: "b", Peers: []api.Peer{{Name: "a", Plane: bootstrap.ControlPlane{Address: o.Listen, Insecure: true}}}})
-	o.Peers = []api.Peer{{Name: "b", Plane: bootstrap.ControlPlane{Address: b.Addr(), Insecure: true}}}
-	l.Close()
-	a := startServer(t, o)
-	lbtest.Until(t, "a has heard b", func() bool { return a.Status().Peers[0].Synced })
-	publish(t, a, nil, append(clusterWithEndpoints("x", 1), clusterWithEndpoints("gone", 1)...)...)
-	publish(t, a, []string{"cluster/gone"})
-	lbtest.Until(t, "b has it", func() bool { st := b.Status(); return st.Clusters == 1 && st.Removed == 1 && st.Peers[0].Synced })
-	lbtest.Until(t, "b serves", func() bool { return b.Status().Ready })
-	a.Close()
-	r := startSidecar(t, "r", "x", o.Listen, b.Addr())
-	r.awaitAddress(t, "1")
-	publish(t, b, nil, endpointSet("x", 2))
-	r.awaitAddress(t, "2")
-	a = startServer(t, o) // it has lost all
-	lbtest.Until(t, "a has it", func() bool {
-		st := a.Status()
-		return st.Ready && st.Clusters == 1 && st.Removed == 1 && st.Counter == 3
+// Servers replicate publications and removals to each other, whichever starts first. A server that starts without state receives all
+// records from its peer before it serves sidecars. While a server is down, its sidecars are served by the other one.
+func TestPeersReplicateRecords(t *testing.T) {
+	listener := lbtest.Listen(t)
+	options := api.Options{Name: "a", Listen: listener.Addr().String(), InitialSync: time.Minute}
+	serverB := startServer(t, api.Options{Name: "b", Peers: []api.Peer{{Name: "a", Plane: bootstrap.ControlPlane{Address: options.Listen, Insecure: true}}}})
+	options.Peers = []api.Peer{{Name: "b", Plane: bootstrap.ControlPlane{Address: serverB.Addr(), Insecure: true}}}
+	listener.Close()
+	serverA := startServer(t, options)
+	lbtest.Until(t, "server a has synced with server b", func() bool { return serverA.Status().Peers[0].Synced })
+	publish(t, serverA, nil, append(clusterWithEndpoints("x", 1), clusterWithEndpoints("gone", 1)...)...)
+	publish(t, serverA, []string{"cluster/gone"})
+	lbtest.Until(t, "server b has all records", func() bool {
+		status := serverB.Status()
+		return status.Clusters == 1 && status.Removed == 1 && status.Peers[0].Synced
+	})
+	lbtest.Until(t, "server b is ready", func() bool { return serverB.Status().Ready })
+	serverA.Close()
+	sidecar := startSidecar(t, "r", "x", options.Listen, serverB.Addr())
+	sidecar.await(t, "1")
+	publish(t, serverB, nil, endpointSet("x", 2))
+	sidecar.await(t, "2")
+	serverA = startServer(t, options) // without a state file
+	lbtest.Until(t, "server a is ready and has all records", func() bool {
+		status := serverA.Status()
+		return status.Ready && status.Clusters == 1 && status.Removed == 1 && status.Counter == 3
 	})
-	publish(t, a, nil, endpointSet("x", 3))
-	r.awaitAddress(t, "3")
-	lbtest.Until(t, "nobody is behind", func() bool {
-		st := b.Status()
-		return len(st.Versions) == 0 && len(st.Conflicts) == 0 && st.Counter == 4
+	publish(t, serverA, nil, endpointSet("x", 3))
+	sidecar.await(t, "3")
+	lbtest.Until(t, "no subscriber of server b is behind", func() bool {
+		status := serverB.Status()
+		return len(status.Versions) == 0 && len(status.Conflicts) == 0 && status.Counter == 4
 	})
 }
 
-// A machine that has just begun takes no publication before it has heard its peers, as it could be taken for old; past the time
-// for that, it does.
-func TestInitialSync(t *testing.T) {
-	l := lbtest.Listen(t)
-	peers := []api.Peer{{Name: "b", Plane: bootstrap.ControlPlane{Address: l.Addr().String(), Insecure: true}}}
-	s := startServer(t, api.Options{Name: "a", Peers: peers, InitialSync: time.Hour})
-	if _, err := s.PublishResources(packResources(t, clusterWithEndpoints("x", 1)...), nil); !errors.Is(err, ErrInitialSync) {
+// A server that has just started accepts no publication before it has synced with its peers, as the publication could be ordered
+// before the peers' versions. After the time limit of the initial sync, it accepts publications.
+func TestPublicationIsRejectedDuringInitialSync(t *testing.T) {
+	listener := lbtest.Listen(t)
+	peers := []api.Peer{{Name: "b", Plane: bootstrap.ControlPlane{Address: listener.Addr().String(), Insecure: true}}}
+	server := startServer(t, api.Options{Name: "a", Peers: peers, InitialSync: time.Hour})
+	if _, err := server.PublishResources(packResources(t, clusterWithEndpoints("x", 1)...), nil); !errors.Is(err, ErrInitialSync) {
 		t.Error(err)
 	}
-	s = startServer(t, api.Options{Name: "a", Peers: peers, InitialSync: time.Millisecond})
-	lbtest.Until(t, "it takes a publication", func() bool {
-		_, err := s.PublishResources(packResources(t, clusterWithEndpoints("x", 1)...), nil)
+	server = startServer(t, api.Options{Name: "a", Peers: peers, InitialSync: time.Millisecond})
+	lbtest.Until(t, "a publication is accepted", func() bool {
+		_, err := server.PublishResources(packResources(t, clusterWithEndpoints("x", 1)...), nil)
 		return err == nil
 	})
-	if !s.Status().Ready {
-		t.Error("and does not serve it")
+	if !server.Status().Ready {
+		t.Error("the server has accepted a publication, but is not ready to serve sidecars")
 	}
 }
 
-// More subscribers than there is room for are turned away, and served when others have gone.
-func TestMaxSubscribers(t *testing.T) {
-	s := startServer(t, api.Options{Name: "m", MaxSubscribers: 1})
-	publish(t, s, nil, clusterWithEndpoints("a", 1)...)
-	first := startSidecar(t, "r1", "a", s.Addr())
-	first.awaitAddress(t, "1")
-	second := startSidecar(t, "r2", "a", s.Addr())
-	other := startServer(t, api.Options{Name: "n"})
-	publish(t, other, nil, clusterWithEndpoints("a", 9)...)
-	third := startSidecar(t, "r3", "a", s.Addr(), other.Addr())
-	third.awaitAddress(t, "9")
-	if is := second.observedAddress(); is != "waiting" {
-		t.Errorf("the one too many sees %s", is)
+// Subscribers over MaxSubscribers are rejected. They use another server if they have one, and are served once others have left.
+func TestSubscribersOverLimitAreRejected(t *testing.T) {
+	server := startServer(t, api.Options{Name: "m", MaxSubscribers: 1})
+	publish(t, server, nil, clusterWithEndpoints("a", 1)...)
+	first := startSidecar(t, "r1", "a", server.Addr())
+	first.await(t, "1")
+	second := startSidecar(t, "r2", "a", server.Addr())
+	otherServer := startServer(t, api.Options{Name: "n"})
+	publish(t, otherServer, nil, clusterWithEndpoints("a", 9)...)
+	third := startSidecar(t, "r3", "a", server.Addr(), otherServer.Addr())
+	third.await(t, "9")
+	if state := second.portOrState(); state != "waiting" {
+		t.Errorf("sidecar over the limit has port or state %s, want waiting", state)
 	}
-	third.client.Close() // else it would try for the free place, as its first machine is wanted
+	third.client.Close() // otherwise it could take the free place, as it prefers its first server
 	first.client.Close()
-	second.awaitAddress(t, "1")
+	second.await(t, "1")
 }
