--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -20,7 +20,7 @@
 
 // Peer is another control-plane server.
 type Peer struct {
-	Name  string // the node ID in its requests
+	Name  string // the node ID in the peer's requests
 	Plane bootstrap.ControlPlane
 }
 
--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -43,7 +43,7 @@
 		s := d.queue[0]
 		d.queue = d.queue[1:]
 		s.queued, s.granted = false, true
-		d.bucket.level -= float64(d.estimate(s))
+		d.bucket.level -= float64(d.estimateInitialBytes(s))
 		d.wake(s)
 	}
 	for _, s := range d.queue {
--- a/internal/controlplane/distribution/next.go
+++ b/internal/controlplane/distribution/next.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// estimate returns the size in bytes of the next part of a subscriber's initial state, at most MaxResponseBytes.
-func (d *Distributor) estimate(s *Subscriber) int {
+// estimateInitialBytes returns the size in bytes of the next part of a subscriber's initial state, at most MaxResponseBytes.
+func (d *Distributor) estimateInitialBytes(s *Subscriber) int {
 	for k := range KindCount {
 		bytes := 0
 		for name := range s.subscriptions[k].initial {
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -228,15 +228,15 @@
 	if sub.wildcard {
 		return
 	}
-	keepNames(sub, sub.acknowledged)
-	keepNames(sub, sub.sent)
-	keepNames(sub, sub.nacked)
-	keepNames(sub, sub.initial)
-	keepNames(sub, sub.changed)
-	keepNames(sub, sub.oneByOne)
+	retainSubscribed(sub, sub.acknowledged)
+	retainSubscribed(sub, sub.sent)
+	retainSubscribed(sub, sub.nacked)
+	retainSubscribed(sub, sub.initial)
+	retainSubscribed(sub, sub.changed)
+	retainSubscribed(sub, sub.oneByOne)
 }
 
-// keepNames drops the entries of a map that are not subscribed to.
-func keepNames[V any](sub *subscription, m map[string]V) {
+// retainSubscribed drops the entries of a map that are not subscribed to.
+func retainSubscribed[V any](sub *subscription, m map[string]V) {
 	maps.DeleteFunc(m, func(name string, _ V) bool { return !sub.names[name] })
 }
--- a/internal/controlplane/records/publish.go
+++ b/internal/controlplane/records/publish.go
@@ -84,15 +84,15 @@
 		case k.Kind == ads.Clusters && !c.Removed && c.EndpointSet != "" && !s.willBePresent(next, Key{Kind: ads.Endpoints, Name: c.EndpointSet}):
 			faults = append(faults, fmt.Errorf("%s: eds_cluster_config: there are no endpoints named %q", k, c.EndpointSet))
 		case k.Kind == ads.Endpoints && c.Removed:
-			faults = append(faults, s.stillRequired(next, k)...)
+			faults = append(faults, s.removalFaults(next, k)...)
 		}
 	}
 	return faults
 }
 
-// stillRequired returns a fault for each cluster that would require a removed endpoint set.
-func (s *Store) stillRequired(next map[Key]Content, set Key) (faults []error) {
-	for _, cluster := range s.clustersOf(set.Name) {
+// removalFaults returns a fault for each cluster that would require a removed endpoint set.
+func (s *Store) removalFaults(next map[Key]Content, set Key) (faults []error) {
+	for _, cluster := range s.clustersRequiring(set.Name) {
 		c, changes := next[Key{Kind: ads.Clusters, Name: cluster}]
 		if !changes || !c.Removed && c.EndpointSet == set.Name {
 			faults = append(faults, fmt.Errorf("%s: can't be removed: cluster %q needs it", set, cluster))
@@ -109,8 +109,8 @@
 	return s.isPresent(k)
 }
 
-// clustersOf returns the clusters that require an endpoint set.
-func (s *Store) clustersOf(set string) []string {
+// clustersRequiring returns the clusters that require an endpoint set.
+func (s *Store) clustersRequiring(set string) []string {
 	var clusters []string
 	for name, e := range s.entries[ads.Clusters] {
 		if !e.Removed && e.EndpointSet == set {
--- a/internal/controlplane/records/store.go
+++ b/internal/controlplane/records/store.go
@@ -17,8 +17,8 @@
 	// during all these removals may then restore that resource. At 1,400 changes a day, the limit covers at least a week.
 	MaxRemoved   = 10_000
 	maxConflicts = 256 // that are reported; beyond it the oldest are forgotten
-	// maxCounterGap is how far a counter that only a subscriber reports may be ahead; it is ignored beyond that. The gap covers
-	// the changes of some days.
+	// maxCounterGap limits how far a counter that only a subscriber reports may be ahead of the store's counter. A counter beyond
+	// the limit is ignored. The limit covers the changes of some days.
 	maxCounterGap = 10_000
 )
 
@@ -39,7 +39,7 @@
 // Store holds the newest record of each resource. It is not safe for concurrent use.
 type Store struct {
 	origin       string
-	counter      uint64 // the highest seen
+	counter      uint64 // the highest counter seen
 	entries      [ads.KindCount]map[string]*entry
 	presentCount [ads.KindCount]int
 	removedCount int
@@ -149,8 +149,8 @@
 	return oldest
 }
 
-// ObserveVersion raises the counter to that of a version which a subscriber has from another server, so that later publications
-// are newer. The other server may never be reachable again. A version beyond maxCounterGap is ignored.
+// ObserveVersion raises the counter to that of a version that a subscriber has from another server. Later publications are then
+// newer, even if the other server is never reachable again. A version beyond maxCounterGap is ignored.
 func (s *Store) ObserveVersion(v Version) {
 	if v.Counter > s.counter && v.Counter-s.counter <= maxCounterGap && s.counter > 0 {
 		s.counter = v.Counter
