--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -106,7 +106,7 @@
 	Fault       string    `json:"fault,omitempty"`
 }
 
-// Conflict describes two concurrent versions of a resource. The winner is in force.
+// Conflict describes two concurrent versions of a resource. The winner takes precedence over the loser on all servers.
 type Conflict struct {
 	Kind   string    `json:"kind"`
 	Name   string    `json:"name"`
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -25,7 +25,7 @@
 const (
 	Clusters Kind = iota
 	EndpointSets
-	Records   // what control-plane servers replicate: clusters and sets, also removed ones, with their version vectors
+	Records   // replicated between control-plane servers: clusters and endpoint sets, also removed ones, with their version vectors
 	KindCount // the number of kinds
 )
 
--- a/internal/controlplane/distribution/subscriber.go
+++ b/internal/controlplane/distribution/subscriber.go
@@ -40,7 +40,7 @@
 	// The response in flight:
 	nonce       string // empty: no response is in flight
 	sent        map[string]records.Version
-	sentSeveral bool // it holds more than one resource
+	sentSeveral bool // more than one resource was sent
 
 	nacked map[string]Nack
 }
--- a/internal/controlplane/records/initialsync.go
+++ b/internal/controlplane/records/initialsync.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// InitialSync decides when a server that has started serves sidecars. Its stored state may be out of date, or lost: it first
-// waits, for a limited time, until it has merged the records of its peers. A server without any record serves nobody, so that
-// its subscribers go to another one.
+// InitialSync decides when a server that has started serves sidecars. The server's stored state may be out of date, or lost. The
+// server therefore first waits, for a limited time, until it has merged the records of its peers. A server without any record
+// serves no sidecars, so that its subscribers use another server.
 type InitialSync struct {
 	deadline time.Time
 	pending  map[string]bool
--- a/internal/controlplane/records/record.go
+++ b/internal/controlplane/records/record.go
@@ -1,7 +1,7 @@
 // Package records holds the resources that a control-plane server has accepted, and merges the records that servers send each
 // other. It does no I/O and reads no clock. A Store belongs to one server, which serialises all calls.
 //
-// A record is one resource (a cluster or a set of endpoints) in one version, or its removal. It never changes: a change is a
+// A record is one resource (a cluster or a set of endpoints) in one version, or its removal. A record never changes: a change is a
 // new record. A version consists of a counter and the server that assigned it. A publication takes the highest counter that
 // its server has seen, plus one (a Lamport clock), so a publication that knows of another one is newer, and all servers agree
 // on the order of any two. A record also holds which versions of the resource its server had seen, by origin (a version
--- a/internal/controlplane/records/store.go
+++ b/internal/controlplane/records/store.go
@@ -22,7 +22,7 @@
 	maxCounterGap = 10_000
 )
 
-// Conflict describes two concurrent versions of a resource. The winner is in force.
+// Conflict describes two concurrent versions of a resource. The winner takes precedence over the loser on all servers.
 type Conflict struct {
 	Key
 	Winner Version   `codec:"Winner"`
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,6 +1,6 @@
 // Package controlplane is a control-plane server: it accepts publications, stores them, replicates them to other
-// control-plane servers, and sends each sidecar what it has subscribed to, over the incremental aggregated discovery service of
-// xDS version 3 (docs/CONTROL-PLANE.md).
+// control-plane servers, and sends each sidecar the resources that it has subscribed to, over the incremental aggregated
+// discovery service of xDS version 3 (docs/CONTROL-PLANE.md).
 //
 // Package records decides which versions are in force. Package distribution decides which resources are sent to which
 // subscriber, and when. Neither does I/O or reads the clock: this package connects them to sockets, files and the clock. A
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -308,7 +308,7 @@
 	if state := second.portOrState(); state != "waiting" {
 		t.Errorf("sidecar over the limit has port or state %s, want waiting", state)
 	}
-	third.client.Close() // otherwise it could take the free place, as it prefers its first server
+	third.client.Close() // otherwise the third sidecar could take the free place, as it prefers the first of its servers
 	first.client.Close()
 	second.await(t, "1")
 }
--- a/internal/controlplane/stream.go
+++ b/internal/controlplane/stream.go
@@ -176,7 +176,7 @@
 	s.streams[st.subscriber] = st
 }
 
-// nackReason returns why the subscriber has rejected a response, or "" if it has not rejected one.
+// nackReason returns why the subscriber has rejected a response, or "" for a request that rejects none.
 func nackReason(m *discoveryv3.DeltaDiscoveryRequest) string {
 	if reason := m.GetErrorDetail().GetMessage(); reason != "" || m.ErrorDetail == nil {
 		return reason
