--- a/internal/controlplane/distribution/bucket.go
+++ b/internal/controlplane/distribution/bucket.go
@@ -12,12 +12,12 @@
 	filledAt              time.Time
 }
 
-// maxBurst is the time whose bytes may be sent at once: a lone subscriber never waits.
-const maxBurst = 100 * time.Millisecond
+// burstDuration is the time for which unused bytes accumulate. They may be sent at once, so a single subscriber does not wait.
+const burstDuration = 100 * time.Millisecond
 
 func newByteBucket(now time.Time, limits Limits) byteBucket {
 	rate := float64(limits.BytesPerSecond)
-	capacity := math.Max(rate*maxBurst.Seconds(), float64(limits.MaxResponseBytes))
+	capacity := math.Max(rate*burstDuration.Seconds(), float64(limits.MaxResponseBytes))
 	return byteBucket{rate: rate, capacity: capacity, level: capacity, filledAt: now}
 }
 
@@ -43,12 +43,12 @@
 		s := d.queue[0]
 		d.queue = d.queue[1:]
 		s.queued, s.granted = false, true
-		d.bucket.level -= float64(d.estimate(s))
+		d.bucket.level -= float64(d.estimateInitialBytes(s))
 		d.wake(s)
 	}
 	for _, s := range d.queue {
 		if now.Sub(s.queuedAt) < d.limits.KeepaliveDelay {
-			break // those behind it came later
+			break // the rest of the queue was added later
 		}
 		if !s.contacted && !s.keepaliveDue {
 			s.keepaliveDue = true
@@ -57,7 +57,7 @@
 	}
 }
 
-// NextStep returns the time at which Step has something to do, or zero.
+// NextStep returns the time at which Step has to be called, or the zero time if the queue is empty.
 func (d *Distributor) NextStep() time.Time {
 	if len(d.queue) == 0 {
 		return time.Time{}
@@ -75,8 +75,8 @@
 	return at
 }
 
-// Waiting returns how many subscribers wait for an initial state.
-func (d *Distributor) Waiting() int { return len(d.queue) }
+// WaitingCount returns how many subscribers wait for an initial state.
+func (d *Distributor) WaitingCount() int { return len(d.queue) }
 
 func (d *Distributor) enqueue(now time.Time, s *Subscriber) {
 	if !s.queued {
--- a/internal/controlplane/records/initialsync.go
+++ b/internal/controlplane/records/initialsync.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// InitialSync decides when a server that has started serves sidecars. Its stored state may be out of date, or lost: it first
-// waits, for a limited time, until it has merged the records of its peers. A server without any record serves nobody, so that
-// its subscribers go to another one.
+// InitialSync decides when a server that has started serves sidecars. The server's stored state may be out of date, or lost. The
+// server therefore first waits, for a limited time, until it has merged the records of its peers. A server without any record
+// serves no sidecars, so that its subscribers use another server.
 type InitialSync struct {
 	deadline time.Time
 	pending  map[string]bool
 }
 
-// NewInitialSync waits for peers until a deadline.
+// NewInitialSync returns an InitialSync that waits for the named peers until a deadline.
 func NewInitialSync(deadline time.Time, peers []string) *InitialSync {
 	s := &InitialSync{deadline: deadline, pending: map[string]bool{}}
 	for _, peer := range peers {
@@ -19,10 +19,10 @@
 	return s
 }
 
-// PeerSynced records that all records of a peer were merged.
+// PeerSynced notes that all records of a peer were merged.
 func (s *InitialSync) PeerSynced(peer string) { delete(s.pending, peer) }
 
-// IsComplete reports whether the peers are not waited for any more. Only then may something be published.
+// IsComplete reports whether all peers have synced or the deadline has passed. Until then nothing may be published.
 func (s *InitialSync) IsComplete(now time.Time) bool {
 	return len(s.pending) == 0 || !now.Before(s.deadline)
 }
@@ -32,5 +32,5 @@
 	return s.IsComplete(now) && !store.IsEmpty()
 }
 
-// Deadline returns when the peers are not waited for any more.
+// Deadline returns the time at which waiting for the peers ends.
 func (s *InitialSync) Deadline() time.Time { return s.deadline }
--- a/internal/controlplane/records/publish.go
+++ b/internal/controlplane/records/publish.go
@@ -12,13 +12,14 @@
 type Publication struct {
 	Version   Version
 	Records   []Record
-	Unchanged int // contents that are in force already
+	Unchanged int // number of contents that are in force already
 }
 
-// Prepare returns the publication of contents, or all faults in them. It changes nothing: the records are in force once they are
-// merged, which has to wait until they are stored. A version that was sent and not stored would be assigned twice.
+// Prepare returns the publication of contents, or all faults in them. It does not modify the store. The caller stores the
+// publication first and then merges its records, which puts them in force: a version that was sent but not stored would be
+// assigned twice.
 func (s *Store) Prepare(contents []Content) (p Publication, faults []error) {
-	next, faults := s.collect(contents)
+	next, faults := s.contentsByKey(contents)
 	faults = append(faults, s.danglingReferences(next)...)
 	present, _ := s.Counts()
 	p.Version = Version{Counter: s.counter + 1, Origin: s.origin}
@@ -45,8 +46,8 @@
 	return p, nil
 }
 
-// collect returns the contents by key.
-func (s *Store) collect(contents []Content) (next map[Key]Content, faults []error) {
+// contentsByKey returns the contents by key, and a fault for each duplicate and each removal of a missing resource.
+func (s *Store) contentsByKey(contents []Content) (next map[Key]Content, faults []error) {
 	next = map[Key]Content{}
 	for _, c := range contents {
 		if _, duplicate := next[c.Key]; duplicate {
@@ -74,26 +75,26 @@
 	return faults
 }
 
-// danglingReferences returns a fault for each cluster that would require a missing endpoint set: a subscriber would wait for it
-// in vain.
+// danglingReferences returns a fault for each cluster that would require a missing endpoint set, which its subscribers would never
+// receive.
 func (s *Store) danglingReferences(next map[Key]Content) (faults []error) {
 	for _, k := range slices.SortedFunc(maps.Keys(next), Key.Compare) {
 		c := next[k]
 		switch {
-		case k.Kind == ads.Clusters && !c.Removed && c.Set != "" && !s.willBePresent(next, Key{Kind: ads.Endpoints, Name: c.Set}):
-			faults = append(faults, fmt.Errorf("%s: eds_cluster_config: there are no endpoints named %q", k, c.Set))
+		case k.Kind == ads.Clusters && !c.Removed && c.EndpointSet != "" && !s.willBePresent(next, Key{Kind: ads.Endpoints, Name: c.EndpointSet}):
+			faults = append(faults, fmt.Errorf("%s: eds_cluster_config: there are no endpoints named %q", k, c.EndpointSet))
 		case k.Kind == ads.Endpoints && c.Removed:
-			faults = append(faults, s.stillRequired(next, k)...)
+			faults = append(faults, s.removalFaults(next, k)...)
 		}
 	}
 	return faults
 }
 
-// stillRequired returns a fault for each cluster that would require a removed endpoint set.
-func (s *Store) stillRequired(next map[Key]Content, set Key) (faults []error) {
-	for _, cluster := range s.clustersOf(set.Name) {
+// removalFaults returns a fault for each cluster that would require a removed endpoint set.
+func (s *Store) removalFaults(next map[Key]Content, set Key) (faults []error) {
+	for _, cluster := range s.clustersRequiring(set.Name) {
 		c, changes := next[Key{Kind: ads.Clusters, Name: cluster}]
-		if !changes || !c.Removed && c.Set == set.Name {
+		if !changes || !c.Removed && c.EndpointSet == set.Name {
 			faults = append(faults, fmt.Errorf("%s: can't be removed: cluster %q needs it", set, cluster))
 		}
 	}
@@ -108,11 +109,11 @@
 	return s.isPresent(k)
 }
 
-// clustersOf returns the clusters that require an endpoint set.
-func (s *Store) clustersOf(set string) []string {
+// clustersRequiring returns the clusters that require an endpoint set.
+func (s *Store) clustersRequiring(set string) []string {
 	var clusters []string
 	for name, e := range s.entries[ads.Clusters] {
-		if !e.Removed && e.Set == set {
+		if !e.Removed && e.EndpointSet == set {
 			clusters = append(clusters, name)
 		}
 	}
