--- a/lbpolicy/balancer_test.go
+++ b/lbpolicy/balancer_test.go
@@ -18,21 +18,23 @@
 
 // recorder is a Host that keeps what a balancer did, in order.
 type recorder struct {
-	acts   []string
-	sends  []ServerID
-	timers map[uint64]time.Duration
+	actions []string
+	sends   []ServerID
+	timers  map[uint64]time.Duration
 }
 
-func (h *recorder) add(format string, a ...any) { h.acts = append(h.acts, fmt.Sprintf(format, a...)) }
+func (h *recorder) record(format string, a ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, a...))
+}
 func (h *recorder) Send(id RequestID, s ServerID) {
-	h.add("send %d %d", id, s)
+	h.record("send %d %d", id, s)
 	h.sends = append(h.sends, s)
 }
-func (h *recorder) Reject(id RequestID, _ time.Duration)    { h.add("refuse %d", id) }
-func (h *recorder) Fail(id RequestID)                       { h.add("fail %d", id) }
-func (h *recorder) Cancel(id RequestID, n int)              { h.add("cancel %d %d", id, n) }
-func (h *recorder) CloseIdle(s ServerID)                    { h.add("close %d", s) }
-func (h *recorder) Watch()                                  { h.add("watch") }
+func (h *recorder) Reject(id RequestID, _ time.Duration)    { h.record("refuse %d", id) }
+func (h *recorder) Fail(id RequestID)                       { h.record("fail %d", id) }
+func (h *recorder) Cancel(id RequestID, n int)              { h.record("cancel %d %d", id, n) }
+func (h *recorder) CloseIdle(s ServerID)                    { h.record("close %d", s) }
+func (h *recorder) Watch()                                  { h.record("watch") }
 func (h *recorder) Log(text string)                         {}
 func (h *recorder) ServerProgress(ServerID) ServerProgress  { return ServerProgress{} }
 func (h *recorder) WaitsSince(RequestID, int) time.Duration { return 0 }
@@ -45,7 +47,7 @@
 }
 
 func (h *recorder) count(prefix string) (n int) {
-	for _, a := range h.acts {
+	for _, a := range h.actions {
 		if strings.HasPrefix(a, prefix) {
 			n++
 		}
@@ -53,11 +55,11 @@
 	return n
 }
 
-func (h *recorder) last() string {
-	if len(h.acts) == 0 {
+func (h *recorder) lastAction() string {
+	if len(h.actions) == 0 {
 		return ""
 	}
-	return h.acts[len(h.acts)-1]
+	return h.actions[len(h.actions)-1]
 }
 
 func testSettings() Settings {
@@ -82,7 +84,7 @@
 	return b, h
 }
 
-func ready(n int) (list []Server) {
+func readyServers(n int) (list []Server) {
 	for i := range n {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: i % 2, Cell: i % 4, State: Ready})
 	}
@@ -90,8 +92,8 @@
 }
 
 // The table: n slots of T1, then falling; the lowest row reaches nothing before the next one leaves the upper part.
-func TestTableRows(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(4)...)
+func TestTableShedsLowestLevelFirst(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	top := b.table[len(b.table)-1]
 	for slot := range top {
 		if slot < restingSlots && (top[slot] != 1 || b.table[0][slot] != 1-restingSpread) {
@@ -116,11 +118,11 @@
 
 // Guards against long-waiting calls of low worth holding the queue of short ones of high worth, and against one mean
 // aim for classes of unlike aims: a row lets in what the least aim of its worth or more allows.
-func TestRowsByAim(t *testing.T) {
+func TestThresholdFollowsShortestObjective(t *testing.T) {
 	cfg := testSettings()
 	cfg.Classes = []Class{{LatencyObjective: 3 * sec, Deadline: 6 * sec, PriorityWeight: 1}, {LatencyObjective: sec, Deadline: 6 * sec, PriorityWeight: 2},
 		{LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 3}}
-	b, _ := newBalancer(t, cfg, ready(4)...)
+	b, _ := newBalancer(t, cfg, readyServers(4)...)
 	if want := []float64{1, 1, 1, 2}; !slices.Equal(b.levelObjectives, want) {
 		t.Fatalf("aims %v, want %v", b.levelObjectives, want)
 	}
@@ -131,9 +133,9 @@
 }
 
 // Guards against T1 growing in an overload: calls that servers refuse as full are not carried, however many are let in.
-func TestRefusedAsFullNotCarried(t *testing.T) {
+func TestRejectedAsFullIsNotCountedAsAnswered(t *testing.T) {
 	for verdict, carried := range map[Verdict]bool{OK: true, ConnectFailed: false} {
-		b, _ := newBalancer(t, testSettings(), ready(4)...)
+		b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 		for i := range 400 {
 			now := 2*sec + time.Duration(i)*10*ms
 			b.Request(now, Request{ID: RequestID(i), Class: 4, TimeLeft: 3 * sec})
@@ -149,8 +151,8 @@
 
 // Guards against herds: a late report that all balancers read shows them the same idle server, so what is reported
 // must not rank servers; own calls do.
-func TestReportsDoNotRank(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(2)...)
+func TestLoadReportsDoNotAffectRanking(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(2)...)
 	b.recordOutcome(2*sec, b.subset[0], Outcome{Verdict: OK, Latency: 50 * ms, Load: []float32{0.1}})
 	b.recordOutcome(2*sec, b.subset[1], Outcome{Verdict: OK, Latency: 50 * ms, Load: []float32{0.9}})
 	b.subset[0].inFlight = 1
@@ -160,9 +162,9 @@
 }
 
 // Guards weakness 3: what servers that are out answer, late or full, is no measure of the load of those in use.
-func TestServersOutAreNoLoad(t *testing.T) {
+func TestEjectedServersDoNotCountAsLoad(t *testing.T) {
 	for _, out := range []bool{false, true} {
-		b, _ := newBalancer(t, testSettings(), ready(4)...)
+		b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 		b.subset[0].ejected = out
 		b.recordOutcome(2*sec, b.subset[0], Outcome{Verdict: ServerFull})
 		b.recordOutcome(2*sec, b.subset[0], Outcome{Verdict: Timeout, Latency: 3 * sec})
@@ -173,8 +175,8 @@
 }
 
 // Guards against a release that leaves half the pool idle: cold servers get their part of the pool's capacity.
-func TestHalfColdPool(t *testing.T) {
-	list := ready(8)
+func TestServersInSlowStartGetTheirShare(t *testing.T) {
+	list := readyServers(8)
 	for i := range 4 {
 		list[i].StartedAt = 100 * sec
 	}
@@ -199,10 +201,10 @@
 
 // Guards against a cold server that idles for being held to the least that its age allows: what its reports show
 // counts, and they count the calls of all balancers. One whose reports show little keeps the least.
-func TestColdByReports(t *testing.T) {
+func TestLoadReportsRaiseCapacityInSlowStart(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.ReportFields = 10, []Field{FieldUtilization, FieldRequestRate}
-	list := ready(4)
+	list := readyServers(4)
 	list[0].StartedAt, list[1].StartedAt = 100*sec, 100*sec
 	b, _ := newBalancer(t, cfg, list...)
 	report := func(id ServerID, util, rate float32) {
@@ -231,10 +233,10 @@
 
 // Guards against cold servers that idle beside a crowded warm one: they rank like any other, by what they can do,
 // within the budget that all balancers share.
-func TestColdRanks(t *testing.T) {
+func TestServerInSlowStartIsRankedWithinBudget(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.ReportFields = 10, []Field{FieldUtilization, FieldRequestRate}
-	list := ready(2)
+	list := readyServers(2)
 	list[0].StartedAt = 99 * sec
 	b, h := newBalancer(t, cfg, list...)
 	b.serverCapacity, b.servers[1].latency, b.servers[2].latency = 100, 0.05, 0.5
@@ -256,10 +258,10 @@
 }
 
 // Guards against callers taken for over their share as each balancer starts: all of them start with its allowance.
-func TestSharesFromTheStart(t *testing.T) {
+func TestTenantsHaveInitialAllowance(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.Tenants = 10, []Tenant{{QuotaPerSecond: 10}}
-	b, _ := newBalancer(t, cfg, ready(4)...)
+	b, _ := newBalancer(t, cfg, readyServers(4)...)
 	low := 0
 	for range 20 {
 		if b.levelOf(Request{Class: 4}) == lowestLevel {
@@ -272,8 +274,8 @@
 }
 
 // One step each period, right over the target and left under it, clamped at both ends.
-func TestCursorSteps(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(4)...)
+func TestCursorMovesOneStepPerPeriod(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	b.inFlight = 1000 // a queue that the figures can speak of
 	step := func(util float64) int {
 		for _, s := range b.subset {
@@ -309,9 +311,9 @@
 
 // Guards against the lockout: once little is in flight, late answers of calls let in before must not keep all shut
 // out; with much in flight they step the cursor on.
-func TestLateAnswersWhileDrained(t *testing.T) {
+func TestSlowAnswersWithShortQueueDoNotMoveCursorRight(t *testing.T) {
 	for inFlight, want := range map[int]int{2: 9, 200: 11} {
-		b, _ := newBalancer(t, testSettings(), ready(4)...)
+		b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 		b.cursor, b.inFlight = 10, inFlight
 		for range 50 {
 			b.recordOutcome(b.nextStep, b.subset[0], Outcome{Verdict: OK, Latency: 2 * sec})
@@ -325,11 +327,11 @@
 
 // Guards against tables of connections filled by idle ones: a server that answers between two failed connections is
 // full, not gone, and idle connections are closed while such servers are met, unless handshakes have a price.
-func TestFullOfConnections(t *testing.T) {
+func TestConnectionShortageClosesIdleConnections(t *testing.T) {
 	for _, price := range []float64{0, 0.1} {
 		cfg := testSettings()
 		cfg.HandshakePrice, cfg.ConnIdleTimeout = price, 15*sec
-		b, h := newBalancer(t, cfg, ready(1)...)
+		b, h := newBalancer(t, cfg, readyServers(1)...)
 		end := func(id RequestID, n int, v Verdict) {
 			b.Outcome(2*sec, Outcome{ID: id, Attempt: n, Server: 1, Verdict: v, Latency: 50 * ms, Final: v == OK})
 		}
@@ -361,37 +363,37 @@
 
 // Low worth is refused first; marked retries and traffic over a tenant's share count as low, but only at the front
 // for shares.
-func TestWorthOrder(t *testing.T) {
+func TestLowestLevelIsRejectedFirst(t *testing.T) {
 	cfg := testSettings()
 	cfg.RetriesMarked = true
 	cfg.Tenants = []Tenant{{QuotaPerSecond: 1}}
-	b, h := newBalancer(t, cfg, ready(4)...)
+	b, h := newBalancer(t, cfg, readyServers(4)...)
 	b.cursor = restingSlots + slotsPerLevel - 1 // the low row is shed whole, the others are not
 	b.Request(sec, Request{ID: 1, Class: 4, TimeLeft: 3 * sec, Retry: true, Tenant: -1})
 	b.Request(sec, Request{ID: 2, Class: 0, TimeLeft: 3 * sec, Tenant: -1})
 	if got := fmt.Sprint(h.count("refuse 1"), h.count("send 2")); got != "1 1" {
-		t.Fatalf("acts %v", h.acts)
+		t.Fatalf("acts %v", h.actions)
 	}
 	for id := RequestID(10); id < 20; id++ {
 		b.Request(sec, Request{ID: id, Class: 4, TimeLeft: 3 * sec})
 	}
 	if h.count("refuse") < 6 {
-		t.Fatalf("traffic over the share was let in: %v", h.acts)
+		t.Fatalf("traffic over the share was let in: %v", h.actions)
 	}
 	cfg.Tier = 1
-	b, h = newBalancer(t, cfg, ready(4)...)
+	b, h = newBalancer(t, cfg, readyServers(4)...)
 	b.cursor = restingSlots + slotsPerLevel - 1
 	for id := RequestID(10); id < 13; id++ {
 		b.Request(sec, Request{ID: id, Class: 4, TimeLeft: 3 * sec})
 	}
 	if h.count("refuse") > 0 {
-		t.Fatalf("shares were taken again deeper in the chain: %v", h.acts)
+		t.Fatalf("shares were taken again deeper in the chain: %v", h.actions)
 	}
 }
 
 // T1 has a floor for a balancer with a few calls and grows with what it carries.
-func TestThresholdScales(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(4)...)
+func TestThresholdGrowsWithRate(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	small := b.threshold(9*sec, 4)
 	b.slowRate = 300
 	if large := b.threshold(9*sec, 4); small < minThreshold || large < 300*maxQueueShare {
@@ -400,8 +402,8 @@
 }
 
 // Guards against refusals at every start: with no rate known yet, T1 would stand at its floor.
-func TestStartRefusesNothing(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(40)...)
+func TestNothingIsRejectedAtStart(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(40)...)
 	for id := RequestID(1); id <= 100; id++ {
 		b.Request(sec+time.Duration(id)*ms, Request{ID: id, Class: 4, TimeLeft: 3 * sec})
 	}
@@ -418,8 +420,8 @@
 
 // A balancer started in overload must not learn it as normal.
 // A burst after a pause, or long after the first list, is no overload: nothing is known of the rate any more.
-func TestPauseIsAStart(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(2)...)
+func TestBurstAfterPauseIsAdmitted(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(2)...)
 	for _, at := range []time.Duration{30 * sec, 90 * sec} {
 		*h = recorder{}
 		for i := range RequestID(40) {
@@ -443,12 +445,12 @@
 
 // Callers who never have more time than the first guess of a latency are served in the end: nothing but the guess says
 // that they can't be.
-func TestShortFromTheStart(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(2)...)
+func TestShortDeadlineIsAdmittedOnceGuessFades(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(2)...)
 	b.Request(sec, Request{ID: 1, TimeLeft: sec / 100})
 	b.Request(40*sec, Request{ID: 2, TimeLeft: sec / 100})
-	if h.acts[0] != "refuse 1" || h.count("send 2") != 1 {
-		t.Errorf("before any answer: %v", h.acts)
+	if h.actions[0] != "refuse 1" || h.count("send 2") != 1 {
+		t.Errorf("before any answer: %v", h.actions)
 	}
 	for i := range RequestID(20) {
 		at := 41*sec + time.Duration(i)*sec/2
@@ -456,13 +458,13 @@
 		b.Outcome(at+sec/2, Outcome{ID: 3 + i, Server: h.sends[len(h.sends)-1], Verdict: OK, Latency: sec / 2, Final: true})
 	}
 	b.Request(52*sec, Request{ID: 99, TimeLeft: sec / 100})
-	if h.last() != "refuse 99" {
-		t.Errorf("once it is known: %v", h.last())
+	if h.lastAction() != "refuse 99" {
+		t.Errorf("once it is known: %v", h.lastAction())
 	}
 }
 
-func TestBaselineGuard(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(4)...)
+func TestBaseLatencyDoesNotLearnOverload(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	for range 100000 {
 		b.updateBaseLatency(0.95, 0.1)
 	}
@@ -477,7 +479,7 @@
 }
 
 // Rule 2 at its boundary: each effect and scope against each kind of ending.
-func TestFurtherAttempts(t *testing.T) {
+func TestRepeatsFollowEffectAndScope(t *testing.T) {
 	first := Server{ID: 1, Zone: 0, Cell: 0, State: Ready}
 	zone := Server{ID: 2, Zone: 0, Cell: 1, State: Ready}
 	cell := Server{ID: 3, Zone: 0, Cell: 0, State: Ready}
@@ -516,72 +518,72 @@
 
 // Each ending that proves nothing ran lets an unsafe request go again; each other one ends it in a failure.
 // A request's own bound on attempts holds beside the settings', the lesser of the two.
-func TestOwnAttempts(t *testing.T) {
+func TestRequestMaxAttemptsBoundsAttempts(t *testing.T) {
 	for own, want := range map[int]int{0: 3, 1: 1, 2: 2, 9: 3} {
-		b, h := newBalancer(t, testSettings(), ready(4)...)
+		b, h := newBalancer(t, testSettings(), readyServers(4)...)
 		b.Request(sec, Request{ID: 1, TimeLeft: 3 * sec, MaxAttempts: own})
 		for n := 0; n < len(h.sends); n++ {
 			b.Outcome(sec, Outcome{ID: 1, Attempt: n, Server: h.sends[n], Verdict: ServerFull})
 		}
 		if len(h.sends) != want || h.count("refuse") != 1 {
-			t.Errorf("own bound %d: %v", own, h.acts)
+			t.Errorf("own bound %d: %v", own, h.actions)
 		}
 	}
 }
 
-func TestUnsafeEndings(t *testing.T) {
+func TestNonIdempotentIsRetriedOnlyIfNeverRan(t *testing.T) {
 	for v := OK + 1; v <= NotSent; v++ {
-		b, h := newBalancer(t, testSettings(), ready(8)...)
+		b, h := newBalancer(t, testSettings(), readyServers(8)...)
 		b.Request(sec, Request{ID: 1, Class: 4, TimeLeft: 3 * sec})
 		b.Outcome(sec+ms, Outcome{ID: 1, Server: h.sends[0], Verdict: v, Latency: ms})
 		want := "fail 1"
 		if v.NeverRan() {
 			want = "send 1"
 		}
-		if !strings.HasPrefix(h.last(), want) {
-			t.Errorf("verdict %d: %v, want %s", v, h.acts, want)
+		if !strings.HasPrefix(h.lastAction(), want) {
+			t.Errorf("verdict %d: %v, want %s", v, h.actions, want)
 		}
 	}
 }
 
 // Rule 1: a time-out at the deadline is answered, once, and nothing is sent after the end.
-func TestOneFinalAnswer(t *testing.T) {
+func TestRequestGetsOneFinalAnswer(t *testing.T) {
 	for class := range testSettings().Classes {
-		b, h := newBalancer(t, testSettings(), ready(8)...)
+		b, h := newBalancer(t, testSettings(), readyServers(8)...)
 		b.Request(sec, Request{ID: 1, Class: class, TimeLeft: sec})
 		b.Outcome(2*sec, Outcome{ID: 1, Server: h.sends[0], Verdict: Timeout, Latency: sec})
 		b.Outcome(2*sec, Outcome{ID: 1, Server: h.sends[0], Verdict: Timeout, Latency: sec})
 		b.Timer(3*sec, 1)
 		b.ClientDisconnected(3*sec, 1)
 		if n := h.count("fail") + h.count("refuse"); n != 1 || h.count("send") != 1 || len(b.requests) != 0 {
-			t.Errorf("class %d: %v, %d held", class, h.acts, len(b.requests))
+			t.Errorf("class %d: %v, %d held", class, h.actions, len(b.requests))
 		}
 	}
 }
 
 // A silent server's request gets a second copy where it may; without leave for two at once, a cancel comes first.
-func TestSecondCopy(t *testing.T) {
+func TestSilentServerIsHedgedOrCancelled(t *testing.T) {
 	for _, duplicate := range []bool{true, false} {
 		cfg := testSettings()
 		cfg.MayHedge = duplicate
-		b, h := newBalancer(t, cfg, ready(8)...)
+		b, h := newBalancer(t, cfg, readyServers(8)...)
 		b.Request(sec, Request{ID: 1, Class: 1, TimeLeft: 3 * sec})
 		b.Timer(h.timers[1], 1)
 		if !duplicate {
-			if h.last() != "cancel 1 0" {
-				t.Fatalf("acts %v", h.acts)
+			if h.lastAction() != "cancel 1 0" {
+				t.Fatalf("acts %v", h.actions)
 			}
 			b.Outcome(h.timers[1]+ms, Outcome{ID: 1, Server: h.sends[0], Verdict: Cancelled, Latency: sec})
 		}
 		if len(h.sends) != 2 || h.sends[0] == h.sends[1] {
-			t.Fatalf("duplicate %t: acts %v", duplicate, h.acts)
+			t.Fatalf("duplicate %t: acts %v", duplicate, h.actions)
 		}
 	}
 }
 
 // Rule 3: nothing new to servers that drain or are gone, by delta or by a list that lacks them.
-func TestDrain(t *testing.T) {
-	list := ready(3)
+func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
+	list := readyServers(3)
 	b, h := newBalancer(t, testSettings(), list...)
 	list[0].State = Draining
 	b.UpdateEndpoints(sec, Delta, list[:1])
@@ -598,7 +600,7 @@
 }
 
 // An empty or fully draining pool: an immediate answer for each class.
-func TestNoServers(t *testing.T) {
+func TestRequestsAreRejectedWithoutServers(t *testing.T) {
 	drained := Server{ID: 1, State: Draining}
 	for _, list := range [][]Server{nil, {drained}} {
 		b, h := newBalancer(t, testSettings(), list...)
@@ -606,18 +608,18 @@
 			b.Request(sec, Request{ID: RequestID(class), Class: class, TimeLeft: sec})
 		}
 		if h.count("refuse") != len(b.settings.Classes) {
-			t.Errorf("acts %v", h.acts)
+			t.Errorf("acts %v", h.actions)
 		}
 	}
 }
 
 // Rule 4: with many balancers and one cold server, what all send it in any window stays within the multiple of
 // what it can do, taking warm servers to be fully loaded.
-func TestColdBudget(t *testing.T) {
+func TestSlowStartBudgetHoldsAcrossBalancers(t *testing.T) {
 	const balancers, servers, perSecond = 20, 10, 10.0
 	cfg := testSettings()
 	cfg.Balancers = balancers
-	list := ready(servers)
+	list := readyServers(servers)
 	list[0].StartedAt = sec
 	var at []time.Duration
 	for i := range balancers {
@@ -633,7 +635,7 @@
 		for now := sec; now < 12*sec; now += time.Duration(rng.ExpFloat64() / perSecond * float64(sec)) {
 			id++
 			b.Request(now, Request{ID: id, Class: 0, TimeLeft: 3 * sec})
-			if n := len(h.sends); n > 0 && h.last() == fmt.Sprintf("send %d %d", id, list[0].ID) {
+			if n := len(h.sends); n > 0 && h.lastAction() == fmt.Sprintf("send %d %d", id, list[0].ID) {
 				at = append(at, now)
 			}
 			if n := len(h.sends); n > 0 {
@@ -660,8 +662,8 @@
 }
 
 // A silent server leaves the pool, takes one trial of a request that may be repeated, and comes back on its answer.
-func TestSilentServer(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(6)...)
+func TestSilentServerIsEjectedAndProbed(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(6)...)
 	b.Request(sec, Request{ID: 1, Class: 4, TimeLeft: 30 * sec})
 	s := b.servers[h.sends[0]]
 	b.checkHealth(sec + 10*sec)
@@ -680,27 +682,27 @@
 }
 
 // Most of a fleet out at once is no matter of outliers: calls still go to it.
-func TestFleetOut(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(6)...)
+func TestRequestsAreSentWhenAllServersAreEjected(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(6)...)
 	for _, s := range b.subset {
 		b.eject(sec, s, "silent")
 	}
 	b.ejectedCount = len(b.subset)
 	b.Request(sec, Request{ID: 1, Class: 4, TimeLeft: 3 * sec})
 	if h.count("send 1") != 1 {
-		t.Fatalf("acts %v", h.acts)
+		t.Fatalf("acts %v", h.actions)
 	}
 }
 
 // Asked discovery: one watch in time, again after a failure and never in step; pushed: none.
-func TestDiscovery(t *testing.T) {
+func TestDiscoveryIsPolledWithBackoff(t *testing.T) {
 	cfg := testSettings()
-	_, h := newBalancer(t, cfg, ready(2)...)
+	_, h := newBalancer(t, cfg, readyServers(2)...)
 	if len(h.timers) != 0 {
 		t.Fatal("asked although pushed")
 	}
 	cfg.PollDiscovery = true
-	b, h := newBalancer(t, cfg, ready(2)...)
+	b, h := newBalancer(t, cfg, readyServers(2)...)
 	at, ok := h.timers[discoveryToken]
 	if !ok || at-sec > cfg.MaxPollInterval {
 		t.Fatalf("first watch at %v", at)
@@ -715,7 +717,7 @@
 		at = next
 	}
 	asked := h.count("watch")
-	b.UpdateEndpoints(at, Delta, ready(2))
+	b.UpdateEndpoints(at, Delta, readyServers(2))
 	if asked != 8 || h.timers[discoveryToken] != at {
 		t.Fatal("asked again while subscribed")
 	}
@@ -725,8 +727,8 @@
 }
 
 // Misuse and bad information are passed over.
-func TestOddEvents(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(2)...)
+func TestInvalidEventsAreIgnored(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(2)...)
 	b.Outcome(sec, Outcome{ID: 99})
 	b.Timer(sec, 99)
 	b.ClientDisconnected(sec, 99)
@@ -737,12 +739,12 @@
 	b.Outcome(sec, Outcome{ID: 2, Attempt: 9})
 	b.UpdateEndpoints(sec, Delta, []Server{{ID: 50, State: Removed}})
 	b.Outcome(sec, Outcome{ID: 2, Server: h.sends[0], Latency: ms, Final: true, Load: []float32{1, 2, 3}})
-	if len(h.acts) != 1 || b.inFlight != 0 {
-		t.Fatalf("acts %v, %d in flight", h.acts, b.inFlight)
+	if len(h.actions) != 1 || b.inFlight != 0 {
+		t.Fatalf("acts %v, %d in flight", h.actions, b.inFlight)
 	}
 }
 
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
 		"Classes: none":    func(s *Settings) { s.Classes = nil },
 		"Classes[0]":       func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
@@ -762,9 +764,9 @@
 }
 
 // The same seed and events give the same actions.
-func TestDeterminism(t *testing.T) {
+func TestSameSeedGivesSameActions(t *testing.T) {
 	play := func() string {
-		b, h := newBalancer(t, testSettings(), ready(40)...)
+		b, h := newBalancer(t, testSettings(), readyServers(40)...)
 		for i := range 3000 {
 			now := sec + time.Duration(i)*ms
 			b.Request(now, Request{ID: RequestID(i), Class: i % 5, TimeLeft: sec})
@@ -773,7 +775,7 @@
 					Load: []float32{float32(i%100) / 100}})
 			}
 		}
-		return strings.Join(h.acts, "\n")
+		return strings.Join(h.actions, "\n")
 	}
 	if first := play(); first != play() || len(first) < 10000 {
 		t.Fatal("two runs differ or did nothing")
@@ -781,7 +783,7 @@
 }
 
 // The module's size: two engineers read every change within an hour.
-func TestModuleLimits(t *testing.T) {
+func TestPolicySizeLimits(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -819,9 +821,9 @@
 
 // Guards against the black hole: a server that errs at once would look the fastest of all. Errors that all servers
 // give come from deeper in the chain and put nobody out.
-func TestQuickErrors(t *testing.T) {
+func TestServerWithFastErrorsIsEjected(t *testing.T) {
 	for _, all := range []bool{false, true} {
-		b, _ := newBalancer(t, testSettings(), ready(6)...)
+		b, _ := newBalancer(t, testSettings(), readyServers(6)...)
 		for range 5 {
 			for _, s := range b.subset {
 				v := OK
@@ -842,11 +844,11 @@
 
 // Guards against an uneven front: traffic of a tenant within its part of the whole is not low worth at a balancer
 // that gets more than an even slice, and marked retries use up nobody's share.
-func TestSharesFollowTheSlice(t *testing.T) {
+func TestTenantQuotaFollowsTrafficShare(t *testing.T) {
 	cfg := testSettings()
 	cfg.Balancers, cfg.RetriesMarked = 10, true
 	cfg.Tenants = []Tenant{{QuotaPerSecond: 100}, {QuotaPerSecond: 100}}
-	b, _ := newBalancer(t, cfg, ready(8)...)
+	b, _ := newBalancer(t, cfg, readyServers(8)...)
 	low := [2]int{}
 	for i := range 5000 { // 50 a second where an even slice is 20; the first tenant asks for four times the second
 		now := 2*sec + time.Duration(i)*20*ms
@@ -870,8 +872,8 @@
 
 // Guards worth order where T1 alone holds an overload back: a call refused while lower worth is let in moves the
 // cursor, also with load under its target.
-func TestRefusedOutOfTurn(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(4)...)
+func TestPriorityInversionMovesCursor(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	b.advance(9 * sec)
 	b.inFlight = 1000
 	b.Request(9*sec, Request{ID: 1, Class: 4, TimeLeft: 3 * sec})
@@ -886,7 +888,7 @@
 }
 
 // One broken connection puts no server out; a second with no answer since does.
-func TestResets(t *testing.T) {
+func TestSecondResetWithoutAnswerEjectsServer(t *testing.T) {
 	h := &recorder{}
 	b, err := New(testSettings(), 1, h)
 	if err != nil {
@@ -914,7 +916,7 @@
 }
 
 // A server that turns all calls away, where others serve, is put out, and again after a trial that it turns away.
-func TestTurnsAway(t *testing.T) {
+func TestServerThatRejectsAsFullIsEjected(t *testing.T) {
 	h := &recorder{}
 	b, err := New(testSettings(), 1, h)
 	if err != nil {
@@ -962,12 +964,12 @@
 
 // Who is refused for a full queue is asked to come back later, also at home, and not together with the others; who
 // had too little time is not.
-func TestComeBack(t *testing.T) {
+func TestRetryAfterIsJittered(t *testing.T) {
 	cfg := testSettings()
 	cfg.SendsRetryAfter, cfg.MaxRetryAfter = true, 2*sec
-	b, _ := newBalancer(t, cfg, ready(4)...)
+	b, _ := newBalancer(t, cfg, readyServers(4)...)
 	var waits []time.Duration
-	b.host = &refusals{Host: b.host, waits: &waits}
+	b.host = &retryAfterRecorder{Host: b.host, delays: &waits}
 	b.advance(9 * sec)
 	b.inFlight = 1000
 	for id := range RequestID(20) {
@@ -984,17 +986,19 @@
 	}
 }
 
-type refusals struct {
+type retryAfterRecorder struct {
 	Host
-	waits *[]time.Duration
+	delays *[]time.Duration
 }
 
-func (r *refusals) Reject(_ RequestID, after time.Duration) { *r.waits = append(*r.waits, after) }
+func (r *retryAfterRecorder) Reject(_ RequestID, after time.Duration) {
+	*r.delays = append(*r.delays, after)
+}
 
 // What is learnt of the time that a class takes is forgotten where nothing new is seen, so that a time of slowness
 // does not shut callers out for good.
-func TestHopeForgets(t *testing.T) {
-	b, _ := newBalancer(t, testSettings(), ready(4)...)
+func TestExpectedLatencyFades(t *testing.T) {
+	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	b.baseLatency = 0.01
 	of := func(class int) *request {
 		return &request{class: &b.settings.Classes[class], expected: b.expected[class]}
@@ -1018,9 +1022,9 @@
 
 // What an attempt waits for before it goes out is no silence of its server, nor does it put it out for the calls that are
 // there; when it has gone out its waiting counts.
-func TestOnWay(t *testing.T) {
+func TestPendingDispatchIsNotServerSilence(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		b, h := newBalancer(t, testSettings(), ready(1)...)
+		b, h := newBalancer(t, testSettings(), readyServers(1)...)
 		for i := range RequestID(8) {
 			b.Request(sec, Request{ID: i + 1, TimeLeft: 9 * sec})
 			b.SetDispatchPending(sec, i+1, 0, on)
--- a/lbpolicy/hedge_test.go
+++ b/lbpolicy/hedge_test.go
@@ -13,7 +13,7 @@
 		t.Run(fmt.Sprintf("hedges %t", hedges), func(t *testing.T) {
 			settings := testSettings()
 			settings.MayHedge = hedges
-			b, h := newBalancer(t, settings, ready(2)...)
+			b, h := newBalancer(t, settings, readyServers(2)...)
 			const requests = 4 // two at each server
 			for id := range RequestID(requests) {
 				b.Request(sec, Request{ID: id, Class: 0, TimeLeft: 3 * sec})
@@ -32,7 +32,7 @@
 				b.Timer(h.timers[uint64(left)], uint64(left))
 			}
 			if hedges && len(h.sends) != requests+1 || !hedges && h.count(fmt.Sprintf("cancel %d 0", left)) == 0 {
-				t.Errorf("nothing is done until %v: %v", h.timers[uint64(left)], h.acts)
+				t.Errorf("nothing is done until %v: %v", h.timers[uint64(left)], h.actions)
 			}
 		})
 	}
@@ -43,7 +43,7 @@
 	for _, answers := range []int{1, 4, 40} {
 		for _, idle := range []time.Duration{0, sec, 8 * sec} {
 			t.Run(fmt.Sprintf("%d answers, %v before", answers, idle), func(t *testing.T) {
-				before, host := newBalancer(t, testSettings(), ready(2)...)
+				before, host := newBalancer(t, testSettings(), readyServers(2)...)
 				now := 2 * sec
 				for id := range RequestID(answers) {
 					before.Request(now, Request{ID: id, Class: 0, TimeLeft: 3 * sec})
@@ -53,7 +53,7 @@
 				snapshot := before.Snapshot(now)
 				delays := map[string]time.Duration{}
 				for name, restores := range map[string]bool{"after a hand-over": true, "without state": false} {
-					next, nextHost := newBalancer(t, testSettings(), ready(2)...)
+					next, nextHost := newBalancer(t, testSettings(), readyServers(2)...)
 					if restores {
 						next.Restore(now, snapshot)
 					}
--- a/lbpolicy/manualejection_test.go
+++ b/lbpolicy/manualejection_test.go
@@ -7,8 +7,8 @@
 )
 
 // A ban holds against whatever is listed, and one call ends it, however many there were.
-func TestBanAgainstLists(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(3)...)
+func TestManualEjectionOutlastsUpdates(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(3)...)
 	now := sec
 	id := RequestID(0)
 	// used tells which servers get calls now.
@@ -35,10 +35,10 @@
 	b.SetManuallyEjected(now, 2, true)
 	lists := map[string]func(){
 		"nothing":     func() {},
-		"a full list": func() { b.UpdateEndpoints(now, Full, ready(3)) },
+		"a full list": func() { b.UpdateEndpoints(now, Full, readyServers(3)) },
 		"gone and back": func() {
 			b.UpdateEndpoints(now, Delta, []Server{{ID: 2, State: Removed}})
-			b.UpdateEndpoints(now, Delta, ready(3))
+			b.UpdateEndpoints(now, Delta, readyServers(3))
 		},
 		"a new start": func() { b.UpdateEndpoints(now, Delta, []Server{{ID: 2, State: Ready, StartedAt: now}}) },
 		"settings":    func() { b.Configure(now, testSettings()) },
@@ -57,21 +57,21 @@
 		t.Errorf("after one call back: %v", got)
 	}
 	b.SetManuallyEjected(now, 7, true) // not listed now
-	b.UpdateEndpoints(now, Full, ready(8))
+	b.UpdateEndpoints(now, Full, readyServers(8))
 	if got := used(); got[7] {
 		t.Error("a ban from before its listing does not hold")
 	}
 }
 
 // Where all are banned calls are refused at once.
-func TestAllBanned(t *testing.T) {
-	b, h := newBalancer(t, testSettings(), ready(3)...)
+func TestRequestsAreRejectedWhenAllServersAreManuallyEjected(t *testing.T) {
+	b, h := newBalancer(t, testSettings(), readyServers(3)...)
 	for id := range ServerID(3) {
 		b.SetManuallyEjected(sec, id+1, true)
 	}
 	b.Request(2*sec, Request{ID: 1, TimeLeft: sec})
-	if want := "refuse 1"; len(h.acts) == 0 || fmt.Sprint(h.acts[len(h.acts)-1])[:len(want)] != want {
-		t.Errorf("%v", h.acts)
+	if want := "refuse 1"; len(h.actions) == 0 || fmt.Sprint(h.actions[len(h.actions)-1])[:len(want)] != want {
+		t.Errorf("%v", h.actions)
 	}
 	if b.CountEjected() != 3 {
 		t.Error(b.CountEjected())
@@ -80,7 +80,7 @@
 
 // Back from a ban a server is cold from that moment, unless the list tells a start since the ban; what was known of it is
 // forgotten; and its first call comes soon, however few calls there are.
-func TestBackFromBan(t *testing.T) {
+func TestRestoredServerIsInSlowStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed func(b *Balancer)
 		cold   time.Duration // since
@@ -94,7 +94,7 @@
 		}, 10 * sec},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, h := newBalancer(t, testSettings(), ready(3)...)
+			b, h := newBalancer(t, testSettings(), readyServers(3)...)
 			s := b.servers[2]
 			s.ejected, s.latency, s.ejectedUntil = true, 3, 60*sec
 			b.SetManuallyEjected(5*sec, 2, true)
@@ -122,12 +122,12 @@
 
 // What changes of the settings: a request in work keeps its class and takes no more attempts than both allow; classes are
 // found by name.
-func TestConfigure(t *testing.T) {
+func TestConfigureKeepsClassesOfRequestsInProgress(t *testing.T) {
 	cfg := testSettings()
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		cfg.Classes[i].Name = name
 	}
-	b, h := newBalancer(t, cfg, ready(4)...)
+	b, h := newBalancer(t, cfg, readyServers(4)...)
 	b.expected[1].observe(sec, OK, 1)
 	b.Request(sec, Request{ID: 1, Class: 1, TimeLeft: 3 * sec})
 	fewer := cfg
@@ -162,10 +162,10 @@
 }
 
 // A balancer that takes another's place decides as that would have: who is out, how much is let in, what is cold.
-func TestFollow(t *testing.T) {
+func TestRestoreAppliesSnapshot(t *testing.T) {
 	cfg := testSettings()
 	cfg.Classes[0].Name = "a"
-	list := ready(4)
+	list := readyServers(4)
 	list[3].StartedAt = 5 * sec
 	old, _ := newBalancer(t, cfg, list...)
 	old.startedAt, old.fastRate, old.slowRate, old.baseLatency, old.baseLearned, old.serverCapacity = sec, 30, 20, 0.05, true, 9
--- a/lbpolicy/panic_test.go
+++ b/lbpolicy/panic_test.go
@@ -6,9 +6,9 @@
 // isInPanic says. The number of ejected servers was brought up to date once a period. Until then a request found no
 // panic, no server that is not ejected, and was rejected: 503 where all servers stood ready. In the log both servers
 // of a pool went out within a millisecond, and requests of the next second were rejected at once.
-func TestAllEjectedWithinAPeriod(t *testing.T) {
+func TestServersEjectedWithinOnePeriodStillGetRequests(t *testing.T) {
 	for _, servers := range []int{1, 2, 3, 8} {
-		b, h := newBalancer(t, testSettings(), ready(servers)...)
+		b, h := newBalancer(t, testSettings(), readyServers(servers)...)
 		b.Request(sec, Request{ID: 1, TimeLeft: 3 * sec})
 		b.Outcome(sec+ms, Outcome{ID: 1, Server: h.sends[0], Verdict: OK, Latency: ms, Final: true})
 		for _, s := range b.subset {
@@ -16,7 +16,7 @@
 		}
 		b.Request(sec+2*ms, Request{ID: 2, TimeLeft: 3 * sec})
 		if h.count("send 2") != 1 {
-			t.Errorf("%d servers: acts %v", servers, h.acts)
+			t.Errorf("%d servers: acts %v", servers, h.actions)
 		}
 		if b.nextStep < sec+2*ms {
 			t.Error("tests little: a period has passed")
--- a/lbpolicy/pause_test.go
+++ b/lbpolicy/pause_test.go
@@ -12,26 +12,26 @@
 // clients that have one request out at a time. The process of the balancer can stand still: its timers and the
 // answers of its servers, which go on, come to it after the pause, the timers first.
 type pausePool struct {
-	t          *testing.T
-	balancer   *Balancer
-	now        time.Duration
-	events     eventQueue
-	lastNumber int
-	timerDelay time.Duration // of each timer
-	hanging    ServerID      // 0: none
-	hangsSince time.Duration // its first request that it does not answer; 0: there is none
-	pausedFrom time.Duration
-	pausedTo   time.Duration
-	think      time.Duration // between a client's requests
-	nextID     RequestID
-	attempts   map[RequestID]int
-	inFlight   map[attemptKey]*playedAttempt
-	stallFrom  time.Duration // nothing is read from then on, though the process runs
-	stallTo    time.Duration
-	lastServer ServerID // that got an attempt
-	hedges     int
-	ejected    map[ServerID]time.Duration // when first
-	stopped    bool
+	t            *testing.T
+	balancer     *Balancer
+	now          time.Duration
+	events       eventQueue
+	lastSequence int
+	timerDelay   time.Duration // of each timer
+	hanging      ServerID      // 0: none
+	hangingSince time.Duration // its first request that it does not answer; 0: there is none
+	pausedFrom   time.Duration
+	pausedTo     time.Duration
+	thinkTime    time.Duration // between a client's requests
+	nextID       RequestID
+	attempts     map[RequestID]int
+	inFlight     map[attemptKey]*simulatedAttempt
+	stallFrom    time.Duration // nothing is read from then on, though the process runs
+	stallTo      time.Duration
+	lastServer   ServerID // that got an attempt
+	hedges       int
+	ejected      map[ServerID]time.Duration // when first
+	stopped      bool
 }
 
 const (
@@ -42,30 +42,30 @@
 
 type attemptKey struct {
 	request RequestID
-	number  int
+	attempt int
 }
 
-// playedAttempt is an attempt in flight.
-type playedAttempt struct {
+// simulatedAttempt is an attempt in flight.
+type simulatedAttempt struct {
 	server     ServerID
 	writtenAt  time.Duration // 0: not yet
 	answeredAt time.Duration // when the answer arrives, read or not; 0: it does not
 }
 
-type playedEvent struct {
-	at     time.Duration
-	number int // events at one time keep their order
-	handle func()
+type simulatedEvent struct {
+	at       time.Duration
+	sequence int // events at one time keep their order
+	handle   func()
 }
 
-type eventQueue []playedEvent
+type eventQueue []simulatedEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(playedEvent)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulatedEvent)) }
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -74,28 +74,28 @@
 
 func newPausePool(t *testing.T, clients int, think time.Duration) *pausePool {
 	t.Helper()
-	p := &pausePool{t: t, now: sec, think: think, attempts: map[RequestID]int{}, inFlight: map[attemptKey]*playedAttempt{}, ejected: map[ServerID]time.Duration{}}
+	p := &pausePool{t: t, now: sec, thinkTime: think, attempts: map[RequestID]int{}, inFlight: map[attemptKey]*simulatedAttempt{}, ejected: map[ServerID]time.Duration{}}
 	var err error
 	p.balancer, err = New(testSettings(), 7, p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.balancer.UpdateEndpoints(sec, Full, ready(4))
+	p.balancer.UpdateEndpoints(sec, Full, readyServers(4))
 	for i := range clients {
-		p.after(time.Duration(i)*ms, p.ask)
+		p.schedule(time.Duration(i)*ms, p.sendRequest)
 	}
 	return p
 }
 
-// after schedules an event of the balancer's process, which does not happen while that stands still.
-func (p *pausePool) after(d time.Duration, handle func()) { p.at(p.now+d, 0, handle) }
+// schedule schedules an event of the balancer's process, which does not happen while that stands still.
+func (p *pausePool) schedule(d time.Duration, handle func()) { p.scheduleAt(p.now+d, 0, handle) }
 
-func (p *pausePool) at(at, behindPause time.Duration, handle func()) {
+func (p *pausePool) scheduleAt(at, behindPause time.Duration, handle func()) {
 	if at >= p.pausedFrom && at < p.pausedTo {
 		at = p.pausedTo + behindPause
 	}
-	p.lastNumber++
-	heap.Push(&p.events, playedEvent{max(at, p.now), p.lastNumber, handle})
+	p.lastSequence++
+	heap.Push(&p.events, simulatedEvent{max(at, p.now), p.lastSequence, handle})
 }
 
 // pause has the process stand still from now on.
@@ -108,21 +108,21 @@
 		if at < p.pausedTo {
 			at = p.pausedTo
 		}
-		heap.Push(&p.events, playedEvent{at, e.number, e.handle})
+		heap.Push(&p.events, simulatedEvent{at, e.sequence, e.handle})
 	}
 }
 
 // run plays until a time.
 func (p *pausePool) run(until time.Duration) {
 	for len(p.events) > 0 && p.events[0].at <= until {
-		e := heap.Pop(&p.events).(playedEvent)
+		e := heap.Pop(&p.events).(simulatedEvent)
 		p.now = e.at
 		e.handle()
 	}
 	p.now = until
 }
 
-func (p *pausePool) ask() {
+func (p *pausePool) sendRequest() {
 	if p.stopped {
 		return
 	}
@@ -139,35 +139,35 @@
 	}
 	p.lastServer = s
 	key := attemptKey{id, attempt}
-	a := &playedAttempt{server: s}
+	a := &simulatedAttempt{server: s}
 	p.inFlight[key] = a
 	if s == p.hanging {
-		if p.hangsSince == 0 {
-			p.hangsSince = p.now
+		if p.hangingSince == 0 {
+			p.hangingSince = p.now
 		}
-		p.after(writeTime, func() { a.writtenAt = p.now })
+		p.schedule(writeTime, func() { a.writtenAt = p.now })
 		return
 	}
 	sentAt := p.now
-	p.after(writeTime, func() {
+	p.schedule(writeTime, func() {
 		a.writtenAt = p.now
 		a.answeredAt = p.now + answerTime
-		p.arrive(a.answeredAt, func() {
+		p.scheduleArrival(a.answeredAt, func() {
 			p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: attempt, Server: s, Verdict: OK, Latency: p.now - sentAt, Final: true})
 			delete(p.inFlight, key)
-			p.after(p.think, p.ask)
+			p.schedule(p.thinkTime, p.sendRequest)
 		})
 	})
 }
 
-// arrive schedules what comes from outside: in a pause it waits in a socket.
-func (p *pausePool) arrive(at time.Duration, handle func()) {
+// scheduleArrival schedules what comes from outside: in a pause it waits in a socket.
+func (p *pausePool) scheduleArrival(at time.Duration, handle func()) {
 	if at >= p.stallFrom && at < p.stallTo {
 		at = p.stallTo
 	}
-	p.at(at, readTime, func() {
+	p.scheduleAt(at, readTime, func() {
 		if p.now == p.pausedTo { // it was on its way as the pause began
-			p.at(p.now+readTime, 0, handle)
+			p.scheduleAt(p.now+readTime, 0, handle)
 			return
 		}
 		handle()
@@ -175,7 +175,7 @@
 }
 
 func (p *pausePool) SetTimer(at time.Duration, token uint64) {
-	p.at(at+p.timerDelay, 0, func() { p.balancer.Timer(p.now, token) })
+	p.scheduleAt(at+p.timerDelay, 0, func() { p.balancer.Timer(p.now, token) })
 }
 
 func (p *pausePool) Reject(id RequestID, _ time.Duration) { p.t.Errorf("request %d is rejected", id) }
@@ -184,7 +184,7 @@
 func (p *pausePool) Watch()                               {}
 
 func (p *pausePool) Cancel(id RequestID, attempt int) {
-	p.after(0, func() {
+	p.schedule(0, func() {
 		delete(p.inFlight, attemptKey{id, attempt})
 		p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: attempt, Verdict: Cancelled, Latency: answerTime})
 	})
@@ -196,7 +196,7 @@
 			continue
 		}
 		progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.answeredAt > 0 && a.answeredAt <= p.now
-		if sentAt := p.WaitsSince(key.request, key.number); progress.WaitsSince == 0 || sentAt < progress.WaitsSince {
+		if sentAt := p.WaitsSince(key.request, key.attempt); progress.WaitsSince == 0 || sentAt < progress.WaitsSince {
 			progress.WaitsSince = sentAt
 		}
 	}
@@ -253,7 +253,7 @@
 
 // Answers that have arrived and are read late, by a process whose timers run, are no silence of their servers
 // (docs/incidents/answers-read-late.md).
-func TestLateReaderIsNoSilence(t *testing.T) {
+func TestAnswersReadLateEjectNoServer(t *testing.T) {
 	for _, clients := range []int{1, 8} {
 		for _, stall := range []time.Duration{30 * ms, 90 * ms, 150 * ms, 2 * sec} {
 			t.Run(fmt.Sprintf("%d clients, %v", clients, stall), func(t *testing.T) {
@@ -301,7 +301,7 @@
 				for p.ejected[p.hanging] == 0 && p.now < 20*sec {
 					p.run(p.now + ms)
 				}
-				found := p.ejected[p.hanging] - p.hangsSince
+				found := p.ejected[p.hanging] - p.hangingSince
 				sum += found
 				longest = max(longest, found)
 				wait := time.Duration(unresponsiveMultiple * usual * float64(sec))
--- a/lbpolicy/weights_test.go
+++ b/lbpolicy/weights_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// shares sends calls at intervals, each answered in the time given for its server, and returns what part each got.
-func shares(t *testing.T, b *Balancer, h *recorder, n int, each time.Duration, lat map[ServerID]time.Duration) map[ServerID]float64 {
+// measureShares sends calls at intervals, each answered in the time given for its server, and returns what part each got.
+func measureShares(t *testing.T, b *Balancer, h *recorder, n int, each time.Duration, lat map[ServerID]time.Duration) map[ServerID]float64 {
 	t.Helper()
 	type out struct {
 		id RequestID
@@ -38,7 +38,7 @@
 	return got
 }
 
-func weighed(t *testing.T, weights ...float64) (*Balancer, *recorder, map[ServerID]time.Duration) {
+func newWeightedBalancer(t *testing.T, weights ...float64) (*Balancer, *recorder, map[ServerID]time.Duration) {
 	t.Helper()
 	h := &recorder{}
 	b, err := New(Settings{Balancers: 1, Classes: []Class{{LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}}, MaxAttempts: 1}, 7, h)
@@ -57,25 +57,25 @@
 
 // Servers of like speed get parts as their weights have it, with little in flight and with much; a slow one gets less than
 // its weight.
-func TestWeights(t *testing.T) {
+func TestTrafficFollowsWeights(t *testing.T) {
 	for _, each := range []time.Duration{20 * time.Millisecond, time.Millisecond, 200 * time.Microsecond} {
-		b, h, lat := weighed(t, 1, 0.5, 0.25, 0.25)
-		got := shares(t, b, h, 8000, each, lat)
+		b, h, lat := newWeightedBalancer(t, 1, 0.5, 0.25, 0.25)
+		got := measureShares(t, b, h, 8000, each, lat)
 		for id, want := range map[ServerID]float64{1: 0.5, 2: 0.25, 3: 0.125, 4: 0.125} {
 			if math.Abs(got[id]-want) > 0.3*want {
 				t.Errorf("a call every %v: server %d got %.3f, its weight says %.3f", each, id, got[id], want)
 			}
 		}
 	}
-	b, h, lat := weighed(t, 1, 0.5)
+	b, h, lat := newWeightedBalancer(t, 1, 0.5)
 	lat[1] = 100 * time.Millisecond
-	if got := shares(t, b, h, 4000, time.Millisecond, lat); got[1] > 0.4 {
+	if got := measureShares(t, b, h, 4000, time.Millisecond, lat); got[1] > 0.4 {
 		t.Errorf("a server ten times as slow got %.2f for its weight", got[1])
 	}
 }
 
 // What is to be refused whatever the load is taken from the least worthy.
-func TestDrop(t *testing.T) {
+func TestDropFractionShedsLowestLevelFirst(t *testing.T) {
 	h := &recorder{}
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1},
 		{LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 9}}}, 3, h)
@@ -92,7 +92,7 @@
 				now += 2 * time.Millisecond
 				class := i % 4 / 3 // a quarter is worthy
 				came[class]++
-				h.acts = nil
+				h.actions = nil
 				id := RequestID(now)
 				b.Request(now, Request{ID: id, Class: class, TimeLeft: 10 * time.Second, Tenant: -1})
 				b.Outcome(now, Outcome{ID: id, Server: 1, Verdict: OK, Latency: time.Millisecond, Final: true})
