--- a/lbpolicy/example_test.go
+++ b/lbpolicy/example_test.go
@@ -7,7 +7,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// printer is a small host: it prints what the balancer decides.
+// printer is a Host that prints the balancer's actions.
 type printer struct{}
 
 func (printer) Send(id lbpolicy.RequestID, s lbpolicy.ServerID) { fmt.Println("send", id, "to", s) }
--- a/lbpolicy/fleet_slowstart_test.go
+++ b/lbpolicy/fleet_slowstart_test.go
@@ -9,39 +9,39 @@
 
 var coldSeeds = flag.Int("coldseeds", 2, "seeds for each day and size of TestFleetCold")
 
-// overloadStats holds what cold endpoints get against the bound past which one overloadStats: in the fall window more than N + 2 root of
-// N + 2 calls of mean work, N being the fall multiple of what the settings promise for its age. It does not stay down
-// here, so that each window counts.
+// overloadStats compares the work sent to endpoints in slow start with the bound above which one is overloaded. The bound is
+// N + 2*sqrt(N) + 2 requests of mean work within the overload window. N is OverloadMultiple times the number of requests that the
+// settings assume for the endpoint's age. An overloaded endpoint goes on answering here, so that each window counts.
 type overloadStats struct {
-	overloaded, overloadedByInformed map[ServerID]bool // broken: over two thirds from balancers that had been told of the start
-	maxRatio                         float64           // of the bound, from those who had been told of the start or not
-	maxInformedRatio                 float64           // the same, of windows with over two thirds from those who had
-	maxMultiple                      float64           // the most in a window, in N
+	overloaded, overloadedByInformed map[ServerID]bool // the latter: over two thirds of the work is from balancers that knew of the start
+	maxRatio                         float64           // of the bound, with the work of all balancers
+	maxInformedRatio                 float64           // the same, in windows with over two thirds of the work from informed balancers
+	maxMultiple                      float64           // largest work in a window, as a multiple of N
 }
 
 func newOverloadStats() overloadStats {
 	return overloadStats{overloaded: map[ServerID]bool{}, overloadedByInformed: map[ServerID]bool{}}
 }
 
-func (f *overloadStats) record(e *simulatedEndpoint, now time.Duration, work, told float64) {
-	s := fleetSettings(1)
-	age := (now - e.StartedAt).Seconds() / s.SlowStart.Seconds()
-	least := min(1, s.InitialCapacity+(1-s.InitialCapacity)*age)
-	n := s.OverloadMultiple * least * s.OverloadWindow.Seconds() / e.meanWork
-	over := work / e.meanWork / (n + 2*math.Sqrt(n) + 2)
-	f.maxRatio, f.maxMultiple = max(f.maxRatio, over), max(f.maxMultiple, work/e.meanWork/n)
-	if over > 1 {
+func (f *overloadStats) record(e *simulatedEndpoint, now time.Duration, work, informedShare float64) {
+	settings := fleetSettings(1)
+	age := (now - e.StartedAt).Seconds() / settings.SlowStart.Seconds()
+	minimum := min(1, settings.InitialCapacity+(1-settings.InitialCapacity)*age)
+	n := settings.OverloadMultiple * minimum * settings.OverloadWindow.Seconds() / e.meanWork
+	ratio := work / e.meanWork / (n + 2*math.Sqrt(n) + 2)
+	f.maxRatio, f.maxMultiple = max(f.maxRatio, ratio), max(f.maxMultiple, work/e.meanWork/n)
+	if ratio > 1 {
 		f.overloaded[e.ID] = true
 	}
-	if told > 2./3 {
-		f.maxInformedRatio = max(f.maxInformedRatio, over)
-		if over > 1 {
+	if informedShare > 2./3 {
+		f.maxInformedRatio = max(f.maxInformedRatio, ratio)
+		if ratio > 1 {
 			f.overloadedByInformed[e.ID] = true
 		}
 	}
 }
 
-// handOver lets a new process take a balancer's calls over, with what the old one has learnt.
+// handOver replaces a balancer by a successor, which restores its snapshot and takes over its traffic.
 func (m *member) handOver() {
 	i := 0
 	for m.members[i] != m {
@@ -60,7 +60,7 @@
 	m.replacedMembers = append(m.replacedMembers, m)
 }
 
-// measureSlowStartCapacity adds up what cold endpoints could do.
+// measureSlowStartCapacity adds up, every 100 ms, the work that endpoints in slow start could do.
 func (f *fleet) measureSlowStartCapacity() {
 	if f.now > f.arrivalsEnd {
 		return
@@ -73,39 +73,39 @@
 	f.schedule(100*ms, f.measureSlowStartCapacity)
 }
 
-// failAndRestart lets endpoints hang, and come back cold; half of the balancers learn of it late.
-func (f *fleet) failAndRestart(from, to, late time.Duration, which func(*simulatedEndpoint) bool) {
-	f.schedule(from-f.now, func() {
+// failAndRestart has endpoints hang from one time on and restart at another. Half of the balancers learn of the restart late.
+func (f *fleet) failAndRestart(failAt, restartAt, delay time.Duration, matches func(*simulatedEndpoint) bool) {
+	f.schedule(failAt-f.now, func() {
 		for _, e := range f.endpoints {
-			e.hanging = e.hanging || which(e)
+			e.hanging = e.hanging || matches(e)
 		}
 	})
-	f.schedule(to-f.now, func() {
-		var back []Server
+	f.schedule(restartAt-f.now, func() {
+		var restarted []Server
 		for id := ServerID(1); id <= ServerID(f.scenario.endpointCount); id++ {
 			if e := f.endpoints[id]; e != nil && e.hanging {
 				e.hanging, e.busyUntil, e.StartedAt, e.completions = false, f.now, f.now, nil
-				back = append(back, e.Server)
+				restarted = append(restarted, e.Server)
 			}
 		}
 		for i, m := range f.members {
-			f.schedule(time.Duration(i%2)*late+time.Duration(f.rng.Float64()*float64(sec)), func() { m.receiveList(Delta, back) })
+			f.schedule(time.Duration(i%2)*delay+time.Duration(f.rng.Float64()*float64(sec)), func() { m.receiveList(Delta, restarted) })
 		}
 	})
 }
 
-// replaceShare replaces part of the endpoints within 7 s.
-func (f *fleet) replaceShare(part float64) {
-	n := int(part * float64(f.scenario.endpointCount))
+// replaceShare replaces a share of the endpoints within 7 s.
+func (f *fleet) replaceShare(share float64) {
+	n := int(share * float64(f.scenario.endpointCount))
 	for i := range n {
 		f.replaceEndpoint(6*sec+time.Duration(i)*7*sec/time.Duration(n), ServerID(i+1), ServerID(1000+i))
 	}
 }
 
-// forEachMember does something to all balancers in turn.
-func (f *fleet) forEachMember(from, lasts time.Duration, do func(*member)) {
+// forEachMember calls a function for each balancer in turn, at even intervals.
+func (f *fleet) forEachMember(from, spread time.Duration, action func(*member)) {
 	for i := range f.members {
-		f.schedule(from+lasts*time.Duration(i)/time.Duration(len(f.members))-f.now, func() { do(f.members[i]) })
+		f.schedule(from+spread*time.Duration(i)/time.Duration(len(f.members))-f.now, func() { action(f.members[i]) })
 	}
 }
 
@@ -116,7 +116,7 @@
 	return 1
 }
 
-// lullThenBurst is next to nothing, and then all at once.
+// lullThenBurst returns the factor of a low arrival rate that rises ninefold for 5 s.
 func lullThenBurst(now time.Duration) float64 {
 	if now > 13*sec && now < 18*sec {
 		return 9
@@ -124,11 +124,11 @@
 	return 1
 }
 
-// slowStartScenarios are the days on which a fleet could push a cold endpoint over.
+// slowStartScenarios are the scenarios in which a fleet could overload an endpoint in slow start.
 var slowStartScenarios = []struct {
-	name  string
-	shape func(*scenario)
-	day   func(*fleet)
+	name      string
+	configure func(*scenario)
+	addEvents func(*fleet)
 }{
 	{"join", func(s *scenario) { s.load = 0.85 }, func(f *fleet) { f.replaceShare(0.6) }},
 	{"join, no reports", func(s *scenario) { s.load, s.noLoadReports = 0.85, true }, func(f *fleet) { f.replaceShare(0.6) }},
@@ -181,7 +181,8 @@
 	}},
 }
 
-// doubleBalancers adds as many balancers as there are, and the others are not told; each of all then has half of the calls.
+// doubleBalancers starts as many further balancers as there are, without changing the settings of the others. Each balancer then gets
+// half of its former requests.
 func (f *fleet) doubleBalancers(at time.Duration) {
 	n := len(f.members)
 	f.scenario.rateFactor = func(now time.Duration) float64 {
@@ -203,58 +204,58 @@
 	})
 }
 
-// Cold endpoints under the sum of what all balancers send, first calls, retries and hedges, in every window of the fall:
-// no rule broken on any day, at any size.
+// Endpoints in slow start get the first attempts, retries and hedged requests of all balancers together. Those that know of the start
+// overload no endpoint in any overload window, and no rule is broken, in any scenario and at any fleet size.
 func TestFleetCold(t *testing.T) {
-	for _, day := range slowStartScenarios {
-		t.Run(day.name, func(t *testing.T) {
+	for _, test := range slowStartScenarios {
+		t.Run(test.name, func(t *testing.T) {
 			for _, balancers := range []int{20, 30, 80} {
-				all := newOverloadStats()
-				good, asked, work, could, sends, arrived, least := 0.0, 0.0, 0.0, 0.0, 0, 0, 1.0
+				totals := newOverloadStats()
+				weightInTime, weightArrived, workDone, workPossible, sends, arrived, lowestShare := 0.0, 0.0, 0.0, 0.0, 0, 0, 1.0
 				for seed := range *coldSeeds {
-					// Endpoints, their speed and how they truly warm change with the seed.
-					sh := scenario{balancerCount: balancers, endpointCount: []int{12, 60, 24}[seed%3], seed: uint64(seed + 1), firstBalancerSeed: 1000 * uint64(seed+1), arrivalsEnd: 26 * sec,
+					// The number of endpoints, their speed and their actual slow start vary with the seed.
+					config := scenario{balancerCount: balancers, endpointCount: []int{12, 60, 24}[seed%3], seed: uint64(seed + 1), firstBalancerSeed: 1000 * uint64(seed+1), arrivalsEnd: 26 * sec,
 						meanWork: []float64{0.1, 0.04, 0.2}[(seed/3)%3], startCapacity: 0.25, slowStart: 14 * sec}
 					if seed%2 == 1 {
-						sh.startCapacity, sh.slowStart = 0.15, 22*sec
+						config.startCapacity, config.slowStart = 0.15, 22*sec
 					}
-					day.shape(&sh)
-					f := newScenarioFleet(t, sh)
+					test.configure(&config)
+					f := newScenarioFleet(t, config)
 					f.measureSlowStartCapacity()
-					day.day(f)
+					test.addEvents(f)
 					f.run()
 					f.checkFinalState()
 					for id := range f.overloads.overloaded {
-						all.overloaded[id+ServerID(seed)<<16] = true
+						totals.overloaded[id+ServerID(seed)<<16] = true
 					}
 					for id := range f.overloads.overloadedByInformed {
-						all.overloadedByInformed[id+ServerID(seed)<<16] = true
+						totals.overloadedByInformed[id+ServerID(seed)<<16] = true
 					}
-					all.maxRatio, all.maxInformedRatio = max(all.maxRatio, f.overloads.maxRatio), max(all.maxInformedRatio, f.overloads.maxInformedRatio)
-					g, a := 0.0, 0.0
-					for worth, n := range f.arrived {
-						a += worth * float64(n)
-						g += worth * float64(f.inTime[worth])
+					totals.maxRatio, totals.maxInformedRatio = max(totals.maxRatio, f.overloads.maxRatio), max(totals.maxInformedRatio, f.overloads.maxInformedRatio)
+					served, offered := 0.0, 0.0
+					for weight, n := range f.arrived {
+						offered += weight * float64(n)
+						served += weight * float64(f.inTime[weight])
 						arrived += n
 					}
-					good, asked, sends, least = good+g, asked+a, sends+f.sends, min(least, g/a)
-					work, could = work+f.slowStartWork, could+f.slowStartCapacity
+					weightInTime, weightArrived, sends, lowestShare = weightInTime+served, weightArrived+offered, sends+f.sends, min(lowestShare, served/offered)
+					workDone, workPossible = workDone+f.slowStartWork, workPossible+f.slowStartCapacity
 				}
-				t.Logf("%-46s %3d balancers: fell %3d, broken %3d, most %.2f, told %.2f of the bound; cold work %.2f, worth %.3f (least %.3f), attempts %.2f",
-					day.name, balancers, len(all.overloaded), len(all.overloadedByInformed), all.maxRatio, all.maxInformedRatio, work/could, good/asked, least, float64(sends)/float64(arrived))
-				if good < 0.3*asked {
-					t.Errorf("%d balancers: %.2f of the worth in time", balancers, good/asked)
+				t.Logf("%-46s %3d balancers: overloaded %3d, by informed balancers %3d; largest work %.2f, by informed balancers %.2f of the bound; work in slow start %.2f, weight in time %.3f (least %.3f), attempts per request %.2f",
+					test.name, balancers, len(totals.overloaded), len(totals.overloadedByInformed), totals.maxRatio, totals.maxInformedRatio, workDone/workPossible, weightInTime/weightArrived, lowestShare, float64(sends)/float64(arrived))
+				if weightInTime < 0.3*weightArrived {
+					t.Errorf("%d balancers: %.2f of the priority weight answered in time, want at least 0.3", balancers, weightInTime/weightArrived)
 				}
-				if len(all.overloadedByInformed) > 0 {
-					t.Errorf("%d balancers: %d cold endpoints pushed over by those who were told", balancers, len(all.overloadedByInformed))
+				if len(totals.overloadedByInformed) > 0 {
+					t.Errorf("%d balancers: %d endpoints in slow start overloaded by balancers that knew of the start, want none", balancers, len(totals.overloadedByInformed))
 				}
 			}
 		})
 	}
 }
 
-// cold is a fleet's modules alone, with endpoints that have just started and a known rate of warm ones: nothing answers,
-// and all that is counted are the calls to each endpoint.
+// slowStartFleet is a fleet of balancers alone. All endpoints have just started, and the rate of warmed-up ones is known. No request is
+// answered; the requests sent to each endpoint are recorded.
 type slowStartFleet struct {
 	t         *testing.T
 	balancers []*Balancer
@@ -280,7 +281,7 @@
 func (h slowStartHost) Hedged(Hedge)                            {}
 func (h slowStartHost) SetTimer(at time.Duration, _ uint64)     {}
 
-const fullRequestRate = 10.0 // calls a second of a warm endpoint
+const fullRequestRate = 10.0 // requests per second of a warmed-up endpoint
 
 func newSlowStartFleet(t *testing.T, balancers, endpoints int) *slowStartFleet {
 	t.Helper()
@@ -303,11 +304,11 @@
 	return f
 }
 
-// sendRequests brings calls to every balancer until a time, each so many at each step.
-func (f *slowStartFleet) sendRequests(until, step time.Duration, calls int) {
+// sendRequests sends requests to every balancer until a time, the given number at each step.
+func (f *slowStartFleet) sendRequests(until, step time.Duration, count int) {
 	for ; f.now < until; f.now += step {
 		for _, b := range f.balancers {
-			for range calls {
+			for range count {
 				f.id++
 				b.Request(f.now, Request{ID: f.id, Tenant: -1, TimeLeft: 5 * sec})
 			}
@@ -315,38 +316,39 @@
 	}
 }
 
-// checkOverloadBound checks every window of the fall against what an endpoint of that age may get.
+// checkOverloadBound checks that no endpoint got more requests than the bound for its age in any overload window.
 func (f *slowStartFleet) checkOverloadBound() {
 	f.t.Helper()
-	s, all := fleetSettings(1), 0
-	for id, at := range f.sends {
-		all += len(at)
-		for i, last := range at {
+	settings, total := fleetSettings(1), 0
+	for id, sentAt := range f.sends {
+		total += len(sentAt)
+		for i, last := range sentAt {
 			first := i
-			for first > 0 && at[first-1] > last-s.OverloadWindow {
+			for first > 0 && sentAt[first-1] > last-settings.OverloadWindow {
 				first--
 			}
-			c := s.InitialCapacity + (1-s.InitialCapacity)*(last-sec).Seconds()/s.SlowStart.Seconds()
-			n := s.OverloadMultiple * c * fullRequestRate * s.OverloadWindow.Seconds()
+			c := settings.InitialCapacity + (1-settings.InitialCapacity)*(last-sec).Seconds()/settings.SlowStart.Seconds()
+			n := settings.OverloadMultiple * c * fullRequestRate * settings.OverloadWindow.Seconds()
 			if got := float64(i - first + 1); got > n+2*math.Sqrt(n)+2 {
-				f.t.Fatalf("endpoint %d got %.0f calls in the window up to %v, and %.1f push it over", id, got, last, n+2*math.Sqrt(n)+2)
+				f.t.Fatalf("endpoint %d got %.0f requests in the overload window up to %v, want at most %.1f", id, got, last, n+2*math.Sqrt(n)+2)
 			}
 		}
 	}
-	if all == 0 {
-		f.t.Error("no calls at all")
+	if total == 0 {
+		f.t.Error("no requests sent")
 	}
-	f.t.Logf("%d calls to %d endpoints", all, len(f.sends))
+	f.t.Logf("%d requests to %d endpoints", total, len(f.sends))
 }
 
-// Where all endpoints are cold a balancer whose own may have no more falls back on all others, as any other does.
+// Where all endpoints are in slow start, each balancer whose subset has no budget left falls back to the other endpoints. Together they
+// overload none.
 func TestSlowStartBoundHoldsBeyondSubset(t *testing.T) {
 	f := newSlowStartFleet(t, 30, 60)
 	f.sendRequests(3*sec, 10*ms, 1)
 	f.checkOverloadBound()
 }
 
-// Many balancers with few calls each save one up for the same endpoints, and a burst brings them all.
+// Many balancers with few requests each save up budget for the same endpoints. A burst that spends it at once overloads none.
 func TestSlowStartBoundHoldsForSavedBudgets(t *testing.T) {
 	f := newSlowStartFleet(t, 80, 12)
 	f.sendRequests(sec+ms, ms, 1)
@@ -355,7 +357,7 @@
 	f.checkOverloadBound()
 }
 
-// A cold endpoint that is out at all balancers gets trials from all of them at once.
+// An endpoint in slow start that is ejected at all balancers gets probes from all of them at once, and is not overloaded.
 func TestSlowStartBoundHoldsForProbes(t *testing.T) {
 	f := newSlowStartFleet(t, 80, 12)
 	for _, b := range f.balancers {
--- a/lbpolicy/fleet_test.go
+++ b/lbpolicy/fleet_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// fleet plays many balancers before one set of endpoints in virtual time, and counts what they do together: what is
-// safe for one of them may not be when all do it.
+// fleet simulates many balancers in front of one set of endpoints in virtual time, and counts their actions together. What is safe
+// for one balancer may overload an endpoint when all of them do it.
 type fleet struct {
 	scenario
 	t               *testing.T
@@ -19,42 +19,42 @@
 	events          eventHeap
 	seq             int
 	members         []*member
-	replacedMembers []*member // whose place others have taken
+	replacedMembers []*member // that a successor has replaced
 	endpoints       map[ServerID]*simulatedEndpoint
 	trace           uint64
 
-	arrived, inTime, rejected        map[float64]int // by worth
+	arrived, inTime, rejected        map[float64]int // by priority weight
 	sends                            int
-	slowStartWork, slowStartCapacity float64 // s of work done by cold endpoints that are known to some, and what they could do
-	maxOverloadRatio                 float64 // most work sent to a cold endpoint in a window, over what makes it fall
+	slowStartWork, slowStartCapacity float64 // in seconds of work: done by endpoints in slow start, and possible
+	maxOverloadRatio                 float64 // largest work sent to an endpoint in slow start in a window, over the work that overloads it
 	overloads                        overloadStats
 }
 
-// scenario is what a day of a fleet is made of.
+// scenario configures a fleet, its endpoints and its traffic.
 type scenario struct {
 	balancerCount, endpointCount int
-	seed, firstBalancerSeed      uint64        // of the day, and of the first balancer
-	load                         float64       // of what all endpoints could do warm
-	arrivalsEnd                  time.Duration // no arrivals from then on
-	meanWork                     float64       // s of a warm core, mean of the calls
-	startCapacity                float64       // in truth, what an endpoint can do as it starts, and when it is warm
+	seed, firstBalancerSeed      uint64        // of the scenario, and of the first balancer
+	load                         float64       // as a share of the capacity of all endpoints when warmed up
+	arrivalsEnd                  time.Duration // no requests arrive after it
+	meanWork                     float64       // of a request, in seconds on a warmed-up endpoint
+	startCapacity                float64       // share of its full capacity that an endpoint has when it starts
 	slowStart                    time.Duration
-	maxQueued                    int  // calls that an endpoint holds; 0: any number
-	noLoadReports                bool // no load reports
-	allInSlowStart               bool // all endpoints start as the balancers do, and these in one moment
-	unevenTraffic                bool // one balancer in five gets five times what each of the others gets
-	configuredBalancers          int  // balancers, by the settings; 0: as many as there are
+	maxQueued                    int // requests that an endpoint queues; 0: no limit
+	noLoadReports                bool
+	allInSlowStart               bool // all endpoints and all balancers start at the same time
+	unevenTraffic                bool // one balancer in five gets five times the traffic of each other one
+	configuredBalancers          int  // number of balancers in the settings; 0: the actual number
 	rateFactor                   func(now time.Duration) float64
 }
 
-// member is a balancer with what it was told and what it holds.
+// member is a balancer of the fleet with its host: it keeps the endpoint list that the balancer received, and its requests.
 type member struct {
 	*fleet
 	balancer         *Balancer
 	listedStates     map[ServerID]State
-	listedStartTimes map[ServerID]time.Duration // as told
+	listedStartTimes map[ServerID]time.Duration // as listed
 	clientRequests   map[RequestID]*simulatedRequest
-	successor        *member // that took its place
+	successor        *member // that has replaced it; nil: none
 }
 
 type simulatedRequest struct {
@@ -65,22 +65,22 @@
 	openAttempts map[int]bool
 }
 
-// simulatedEndpoint is one core that works calls off in turn. A cold one does a part of that, and the module is told less:
-// in truth it starts at a quarter, where a seventh is promised, and is warm in two thirds of the time.
+// simulatedEndpoint is one core that answers requests one after another. In slow start it has more capacity than the
+// balancers' settings assume: it starts at a quarter, where they assume a seventh, and is warmed up in two thirds of the time.
 type simulatedEndpoint struct {
 	Server
 	*scenario
 	hanging        bool
 	busyUntil      time.Duration
 	queued         int
-	completions    []time.Duration // ends of calls lately
+	completions    []time.Duration // of requests, in the last second
 	recentArrivals []arrivalWork
 }
 
 type arrivalWork struct {
 	at       time.Duration
 	work     float64
-	informed bool // the balancer had been told of the start
+	informed bool // the balancer knew of the endpoint's start
 }
 
 func (e *simulatedEndpoint) capacity(now time.Duration) float64 {
@@ -125,8 +125,8 @@
 }
 
 func fleetSettings(balancers int) Settings {
-	class := func(worth float64, e Effect, sc Scope) Class {
-		return Class{LatencyObjective: 2 * sec, Deadline: 5 * sec, PriorityWeight: worth, Effect: e, Scope: sc, Window: 8 * sec}
+	class := func(priorityWeight float64, effect Effect, scope Scope) Class {
+		return Class{LatencyObjective: 2 * sec, Deadline: 5 * sec, PriorityWeight: priorityWeight, Effect: effect, Scope: scope, Window: 8 * sec}
 	}
 	return Settings{Balancers: balancers,
 		Classes:     []Class{class(1, Idempotent, 0), class(3, KeyedIdempotent, ScopeAll), class(10, KeyedIdempotent, ScopeZone)},
@@ -135,37 +135,37 @@
 		CrossZonePrice: 0.01, ReportFields: []Field{FieldUtilization, FieldRequestRate}}
 }
 
-// newFleet starts all balancers within a second, each with an even part of the load.
-func newFleet(t *testing.T, balancers, endpoints int, load float64, lasts time.Duration) *fleet {
+// newFleet returns a fleet whose balancers start within a second, each with an even share of the load.
+func newFleet(t *testing.T, balancers, endpoints int, load float64, arrivalsEnd time.Duration) *fleet {
 	t.Helper()
-	return newScenarioFleet(t, scenario{balancerCount: balancers, endpointCount: endpoints, seed: uint64(balancers), load: load, arrivalsEnd: lasts,
+	return newScenarioFleet(t, scenario{balancerCount: balancers, endpointCount: endpoints, seed: uint64(balancers), load: load, arrivalsEnd: arrivalsEnd,
 		meanWork: 0.1, startCapacity: 0.25, slowStart: 14 * sec})
 }
 
-func newScenarioFleet(t *testing.T, sh scenario) *fleet {
+func newScenarioFleet(t *testing.T, config scenario) *fleet {
 	t.Helper()
-	f := &fleet{scenario: sh, t: t, rng: rand.New(rand.NewPCG(sh.seed, 4)), endpoints: map[ServerID]*simulatedEndpoint{},
+	f := &fleet{scenario: config, t: t, rng: rand.New(rand.NewPCG(config.seed, 4)), endpoints: map[ServerID]*simulatedEndpoint{},
 		arrived: map[float64]int{}, inTime: map[float64]int{}, rejected: map[float64]int{}, now: sec, overloads: newOverloadStats()}
 	var list []Server
-	for i := range sh.endpointCount {
+	for i := range config.endpointCount {
 		s := Server{ID: ServerID(i + 1), Zone: i % 3, State: Ready}
-		if sh.allInSlowStart {
+		if config.allInSlowStart {
 			s.StartedAt = f.now
 		}
 		f.addEndpoint(s)
 		list = append(list, s)
 	}
-	total := sh.load * float64(sh.endpointCount) / sh.meanWork
-	for i := range sh.balancerCount {
-		m := f.startBalancer(i, uint64(i)+sh.firstBalancerSeed)
-		late, each := time.Duration(f.rng.Float64()*float64(sec)), total/float64(sh.balancerCount)
-		if sh.allInSlowStart {
-			late = 0
+	total := config.load * float64(config.endpointCount) / config.meanWork
+	for i := range config.balancerCount {
+		m := f.startBalancer(i, uint64(i)+config.firstBalancerSeed)
+		delay, rate := time.Duration(f.rng.Float64()*float64(sec)), total/float64(config.balancerCount)
+		if config.allInSlowStart {
+			delay = 0
 		}
-		if sh.unevenTraffic {
-			each *= map[bool]float64{true: 5, false: 1}[i%5 == 0] / 1.8
+		if config.unevenTraffic {
+			rate *= map[bool]float64{true: 5, false: 1}[i%5 == 0] / 1.8
 		}
-		f.schedule(late, func() { m.receiveList(Cached, list); m.scheduleRequest(each, 0) })
+		f.schedule(delay, func() { m.receiveList(Cached, list); m.scheduleRequest(rate, 0) })
 	}
 	return f
 }
@@ -203,19 +203,19 @@
 	}
 }
 
-// publish brings a change to every balancer, to each at a time of its own.
-func (f *fleet) publish(late time.Duration, list ...Server) {
+// publish sends an update to every balancer, to each after a random delay of its own.
+func (f *fleet) publish(maxDelay time.Duration, list ...Server) {
 	for _, m := range f.members {
-		f.schedule(time.Duration(f.rng.Float64()*float64(late)), func() { m.receiveList(Delta, list) })
+		f.schedule(time.Duration(f.rng.Float64()*float64(maxDelay)), func() { m.receiveList(Delta, list) })
 	}
 }
 
 func (m *member) scheduleRequest(rate float64, n int) {
-	now := rate
+	currentRate := rate
 	if m.rateFactor != nil {
-		now *= m.rateFactor(m.now)
+		currentRate *= m.rateFactor(m.now)
 	}
-	m.schedule(time.Duration(m.rng.ExpFloat64()/now*float64(sec)), func() {
+	m.schedule(time.Duration(m.rng.ExpFloat64()/currentRate*float64(sec)), func() {
 		if m.now > m.arrivalsEnd {
 			return
 		}
@@ -224,17 +224,17 @@
 			return
 		}
 		id, class := RequestID(n+1), min(m.rng.IntN(5)/2, 2)
-		c := &simulatedRequest{class: m.balancer.settings.Classes[class], arrivedAt: m.now, openAttempts: map[int]bool{}}
-		m.clientRequests[id] = c
-		m.arrived[c.class.PriorityWeight]++
-		m.balancer.Request(m.now, Request{ID: id, Class: class, Tenant: -1, TimeLeft: c.class.Deadline})
+		request := &simulatedRequest{class: m.balancer.settings.Classes[class], arrivedAt: m.now, openAttempts: map[int]bool{}}
+		m.clientRequests[id] = request
+		m.arrived[request.class.PriorityWeight]++
+		m.balancer.Request(m.now, Request{ID: id, Class: class, Tenant: -1, TimeLeft: request.class.Deadline})
 		m.scheduleRequest(rate, n+1)
 	})
 }
 
-func (m *member) traceAction(what string, id RequestID, s ServerID) {
+func (m *member) traceAction(action string, id RequestID, s ServerID) {
 	h := fnv.New64a()
-	fmt.Fprint(h, m.trace, m.now, m.balancer.settings.Index, what, id, s)
+	fmt.Fprint(h, m.trace, m.now, m.balancer.settings.Index, action, id, s)
 	m.trace = h.Sum64()
 }
 
@@ -242,16 +242,16 @@
 	m.traceAction("send", id, to)
 	c, e := m.clientRequests[id], m.endpoints[to]
 	if c.finalAnswers > 0 || m.now >= c.arrivedAt+c.class.Deadline {
-		m.t.Fatalf("rule 1: balancer %d sends request %d after its end", m.balancer.settings.Index, id)
+		m.t.Fatalf("rule 1: balancer %d sends request %d after its final answer or deadline", m.balancer.settings.Index, id)
 	}
 	if m.listedStates[to] != Ready {
-		m.t.Fatalf("rule 3: balancer %d sends to endpoint %d, told to be %d", m.balancer.settings.Index, to, m.listedStates[to])
+		m.t.Fatalf("rule 3: balancer %d sends to endpoint %d, which is listed in state %d", m.balancer.settings.Index, to, m.listedStates[to])
 	}
 	n := c.attempts
 	c.attempts++
 	c.openAttempts[n] = true
 	m.sends++
-	end := func(v Verdict, lat time.Duration, load []float32) {
+	endAttempt := func(v Verdict, latency time.Duration, load []float32) {
 		if !c.openAttempts[n] {
 			return
 		}
@@ -263,21 +263,21 @@
 				m.inTime[c.class.PriorityWeight]++
 			}
 		}
-		m.balancer.Outcome(m.now, Outcome{ID: id, Attempt: n, Server: to, Verdict: v, Latency: lat, Final: final || c.finalAnswers > 0, Load: load})
+		m.balancer.Outcome(m.now, Outcome{ID: id, Attempt: n, Server: to, Verdict: v, Latency: latency, Final: final || c.finalAnswers > 0, Load: load})
 	}
 	sent := m.now
 	if e == nil {
-		m.schedule(250*ms, func() { end(ConnectFailed, m.now-sent, nil) })
+		m.schedule(250*ms, func() { endAttempt(ConnectFailed, m.now-sent, nil) })
 		return
 	}
-	m.schedule(c.arrivedAt+c.class.Deadline-m.now, func() { end(Timeout, m.now-sent, nil) })
+	m.schedule(c.arrivedAt+c.class.Deadline-m.now, func() { endAttempt(Timeout, m.now-sent, nil) })
 	if e.hanging {
 		return
 	}
 	work := m.rng.ExpFloat64() * m.meanWork
 	e.recordSlowStartArrival(m, work)
 	if m.maxQueued > 0 && e.queued >= m.maxQueued {
-		m.schedule(ms, func() { end(ServerFull, m.now-sent, nil) })
+		m.schedule(ms, func() { endAttempt(ServerFull, m.now-sent, nil) })
 		return
 	}
 	e.busyUntil = max(e.busyUntil, m.now) + time.Duration(work/e.capacity(m.now)*float64(sec))
@@ -288,32 +288,32 @@
 		if e.capacity(m.now) < 1 {
 			m.slowStartWork += work
 		}
-		end(OK, m.now-sent, e.loadReport(m.now))
+		endAttempt(OK, m.now-sent, e.loadReport(m.now))
 	})
 }
 
-// recordSlowStartArrival adds up the work sent to a cold endpoint within the window: rule 4.
+// recordSlowStartArrival adds up the work sent to an endpoint in slow start within the overload window, for rule 4.
 func (e *simulatedEndpoint) recordSlowStartArrival(m *member, work float64) {
-	c, window := e.capacity(m.now), 2*sec
-	if c >= 1 {
+	capacityShare, window := e.capacity(m.now), 2*sec
+	if capacityShare >= 1 {
 		return
 	}
 	e.recentArrivals = append(e.recentArrivals, arrivalWork{m.now, work, m.listedStartTimes[e.ID] == e.StartedAt})
 	for len(e.recentArrivals) > 0 && e.recentArrivals[0].at <= m.now-window {
 		e.recentArrivals = e.recentArrivals[1:]
 	}
-	sum, told := 0.0, 0.0
+	total, informed := 0.0, 0.0
 	for _, a := range e.recentArrivals {
-		sum += a.work
+		total += a.work
 		if a.informed {
-			told += a.work
+			informed += a.work
 		}
 	}
-	m.maxOverloadRatio = max(m.maxOverloadRatio, sum/(2.5*c*window.Seconds()))
-	m.overloads.record(e, m.now, sum, told/sum)
+	m.maxOverloadRatio = max(m.maxOverloadRatio, total/(2.5*capacityShare*window.Seconds()))
+	m.overloads.record(e, m.now, total, informed/total)
 }
 
-// loadReport is what the endpoint did in the last second: late by what has not ended.
+// loadReport returns the utilization and the rate of the last second. Requests that have not ended do not count yet.
 func (e *simulatedEndpoint) loadReport(now time.Duration) []float32 {
 	if e.noLoadReports {
 		return nil
@@ -328,7 +328,7 @@
 func (m *member) recordFinalAnswer(id RequestID) {
 	c := m.clientRequests[id]
 	if c.finalAnswers++; c.finalAnswers > 1 {
-		m.t.Fatalf("rule 1: balancer %d answers request %d twice", m.balancer.settings.Index, id)
+		m.t.Fatalf("rule 1: balancer %d gives request %d a second final answer", m.balancer.settings.Index, id)
 	}
 }
 
@@ -356,35 +356,36 @@
 	m.schedule(at-m.now, func() { m.balancer.Timer(m.now, token) })
 }
 
-// replaceEndpoint lets an endpoint drain, and a new one start cold in its place; the list tells of both late.
-func (f *fleet) replaceEndpoint(at time.Duration, old, fresh ServerID) {
+// replaceEndpoint has an endpoint drain, and a new one start in its place. The balancers learn of both with a delay.
+func (f *fleet) replaceEndpoint(at time.Duration, replacedID, replacementID ServerID) {
 	f.schedule(at-f.now, func() {
-		gone := f.endpoints[old].Server
-		gone.State = Draining
-		s := Server{ID: fresh, Zone: gone.Zone, State: Ready, StartedAt: f.now}
+		replaced := f.endpoints[replacedID].Server
+		replaced.State = Draining
+		s := Server{ID: replacementID, Zone: replaced.Zone, State: Ready, StartedAt: f.now}
 		f.addEndpoint(s)
-		f.publish(sec, gone)
+		f.publish(sec, replaced)
 		f.publish(2*sec, s)
-		gone.State = Removed
-		f.schedule(3*sec, func() { f.publish(sec, gone) })
+		replaced.State = Removed
+		f.schedule(3*sec, func() { f.publish(sec, replaced) })
 	})
 }
 
-// checkFinalState checks rule 1 at the end, and that nothing is kept for requests that are over.
+// checkFinalState checks that each request has one final answer (rule 1), and that the balancers keep no finished requests.
 func (f *fleet) checkFinalState() {
 	for _, m := range append(f.replacedMembers, f.members...) {
 		for id, c := range m.clientRequests {
 			if c.finalAnswers != 1 {
-				f.t.Fatalf("rule 1: balancer %d: request %d has %d answers", m.balancer.settings.Index, id, c.finalAnswers)
+				f.t.Fatalf("rule 1: balancer %d: request %d has %d final answers, want 1", m.balancer.settings.Index, id, c.finalAnswers)
 			}
 		}
 		if n := len(m.balancer.requests); n > 0 || m.balancer.inFlight != 0 {
-			f.t.Fatalf("balancer %d keeps %d requests, %d in flight", m.balancer.settings.Index, n, m.balancer.inFlight)
+			f.t.Fatalf("balancer %d keeps %d requests and has %d in flight, want none", m.balancer.settings.Index, n, m.balancer.inFlight)
 		}
 	}
 }
 
-// restart kills a balancer and starts it again with the list that it last held; what it held is for its callers.
+// restart kills a balancer and starts it again with its last endpoint list. Its requests in progress count as answered, as their
+// clients have to retry them.
 func (m *member) restart() {
 	var list []Server
 	for _, s := range m.balancer.listed {
@@ -403,7 +404,7 @@
 	m.receiveList(Cached, list)
 }
 
-// runRollingReplacement replaces six in ten endpoints within 7 s, at 0.85 of the whole load.
+// runRollingReplacement simulates the replacement of six in ten endpoints within 7 s, at a load of 0.85.
 func runRollingReplacement(t *testing.T, balancers int) *fleet {
 	t.Helper()
 	const endpoints = 60
@@ -411,7 +412,7 @@
 	for i := range endpoints * 6 / 10 {
 		f.replaceEndpoint(6*sec+time.Duration(i)*7*sec/36, ServerID(i+1), ServerID(1000+i))
 	}
-	for at := 12 * sec; at < 20*sec; at += 100 * ms { // what the cold ones could have done meanwhile
+	for at := 12 * sec; at < 20*sec; at += 100 * ms { // the work that the new endpoints could do meanwhile
 		f.schedule(at-f.now, func() {
 			if at == 12*sec {
 				f.slowStartWork = 0
@@ -423,91 +424,94 @@
 			}
 		})
 	}
-	var done float64
-	f.schedule(20*sec-f.now, func() { done = f.slowStartWork })
+	var work float64
+	f.schedule(20*sec-f.now, func() { work = f.slowStartWork })
 	f.run()
-	f.slowStartWork = done
+	f.slowStartWork = work
 	f.checkFinalState()
 	for _, m := range f.members {
 		if n := len(m.balancer.servers); n != endpoints {
-			t.Fatalf("balancer %d keeps %d endpoints of %d", m.balancer.settings.Index, n, endpoints)
+			t.Fatalf("balancer %d keeps %d endpoints, want %d", m.balancer.settings.Index, n, endpoints)
 		}
 	}
 	return f
 }
 
-// Six in ten endpoints replaced within 7 s, at fleets of any size: no rule broken, no cold endpoint pushed over nor left
-// idle while the rest is crowded, the worthiest served, and the attempts of all together bounded. It guards against
-// what each balancer alone may do and all together may not: first calls to a cold endpoint, budgets for each window,
-// retries. The bounds leave room for the seeds; what the runs gave stands in FLEET-SCALE.md.
+// Six in ten endpoints are replaced within 7 s, in fleets of several sizes. No rule is broken. No endpoint in slow start is
+// overloaded, or left idle while the others are overloaded. The requests of the highest priority weight are served, and the attempts
+// of all balancers together are bounded. The test guards against actions that one balancer may take but not all of them together:
+// first requests to an endpoint in slow start, budgets for each window, and retries. The bounds leave room for differences between
+// seeds. FLEET-SCALE.md lists measured values.
 func TestFleetRollingReplacement(t *testing.T) {
 	for _, balancers := range []int{1, 10, 80, 200} {
 		f := runRollingReplacement(t, balancers)
-		all, part := 0, func(n map[float64]int, worth float64) float64 { return float64(n[worth]) / float64(f.arrived[worth]) }
+		requests, share := 0, func(n map[float64]int, weight float64) float64 {
+			return float64(n[weight]) / float64(f.arrived[weight])
+		}
 		for _, n := range f.arrived {
-			all += n
+			requests += n
 		}
-		t.Logf("%d balancers: cold work %.2f of what was possible, pressure %.2f of a fall, attempts %.2f a request, "+
-			"in time %.2f %.2f %.2f, refused %.2f %.2f %.2f (worth 1, 3, 10)", balancers, f.slowStartWork/f.slowStartCapacity, f.maxOverloadRatio,
-			float64(f.sends)/float64(all), part(f.inTime, 1), part(f.inTime, 3), part(f.inTime, 10),
-			part(f.rejected, 1), part(f.rejected, 3), part(f.rejected, 10))
+		t.Logf("%d balancers: work in slow start %.2f of what was possible, largest overload ratio %.2f, attempts per request %.2f, "+
+			"in time %.2f %.2f %.2f, rejected %.2f %.2f %.2f (priority weights 1, 3, 10)", balancers, f.slowStartWork/f.slowStartCapacity, f.maxOverloadRatio,
+			float64(f.sends)/float64(requests), share(f.inTime, 1), share(f.inTime, 3), share(f.inTime, 10),
+			share(f.rejected, 1), share(f.rejected, 3), share(f.rejected, 10))
 		if f.maxOverloadRatio > 0.95 {
-			t.Errorf("%d balancers: %.2f of what pushes a cold endpoint over", balancers, f.maxOverloadRatio)
+			t.Errorf("%d balancers: an endpoint in slow start got %.2f of the work that overloads it, want at most 0.95", balancers, f.maxOverloadRatio)
 		}
-		if least := 0.5; f.slowStartWork < least*f.slowStartCapacity {
-			t.Errorf("%d balancers: cold endpoints did %.2f of what they could in a shortage", balancers, f.slowStartWork/f.slowStartCapacity)
+		if minShare := 0.5; f.slowStartWork < minShare*f.slowStartCapacity {
+			t.Errorf("%d balancers: endpoints in slow start did %.2f of the work that they could do in a shortage, want at least 0.5", balancers, f.slowStartWork/f.slowStartCapacity)
 		}
-		if float64(f.sends) > (1+retryBudgetRatio)*float64(all) {
-			t.Errorf("%d balancers: %d attempts for %d requests", balancers, f.sends, all)
+		if float64(f.sends) > (1+retryBudgetRatio)*float64(requests) {
+			t.Errorf("%d balancers: %d attempts for %d requests, want at most 1+retryBudgetRatio per request", balancers, f.sends, requests)
 		}
-		if part(f.inTime, 10) < 0.75 || part(f.inTime, 10) < part(f.inTime, 1)+0.05 {
-			t.Errorf("%d balancers: %.2f of the worthiest and %.2f of the least worthy in time", balancers,
-				part(f.inTime, 10), part(f.inTime, 1))
+		if share(f.inTime, 10) < 0.75 || share(f.inTime, 10) < share(f.inTime, 1)+0.05 {
+			t.Errorf("%d balancers: %.2f of weight 10 and %.2f of weight 1 answered in time, want at least 0.75 of weight 10 and a difference of 0.05", balancers,
+				share(f.inTime, 10), share(f.inTime, 1))
 		}
 		if again := runRollingReplacement(t, balancers); again.trace != f.trace {
-			t.Errorf("%d balancers: the same seed gave another trace", balancers)
+			t.Errorf("%d balancers: two runs with the same seed differ", balancers)
 		}
 	}
 }
 
-// Two of five balancers are cut off from the others while endpoints are replaced by cold ones that all of them see. Parts
-// are told as a fleet that goes by views tells them: those who are cut off count themselves as good as nothing from the time
-// on in which they know it, before the others take their part over; healed, all have theirs again. No cold endpoint is pushed
-// over in it, by more than chance where nothing is cut.
+// Two of five balancers are partitioned from the others while endpoints are replaced by new ones that all of them see. The number of
+// balancers is set as a fleet with membership views sets it. The isolated balancers take a negligible share, one in 4096, once they
+// notice the partition, before the others take over their share. After the partition heals, each has an even share again. No endpoint
+// in slow start is overloaded. A run without a partition is logged for comparison.
 func TestFleetPartitionOverloadsNoEndpoint(t *testing.T) {
-	day := func(cut bool) float64 {
+	simulate := func(partitioned bool) float64 {
 		f := newFleet(t, 5, 30, 0.5, 30*sec)
 		for i := range 18 {
 			f.replaceEndpoint(6*sec+time.Duration(i)*7*sec/18, ServerID(i+1), ServerID(1000+i))
 		}
-		parts := func(at time.Duration, of []*member, balancers int, me func(i int) int) {
+		setBalancers := func(at time.Duration, group []*member, balancers int, indexOf func(i int) int) {
 			f.schedule(at-f.now, func() {
-				for i, m := range of {
-					m.balancer.SetBalancers(f.now, balancers, me(i))
+				for i, m := range group {
+					m.balancer.SetBalancers(f.now, balancers, indexOf(i))
 				}
 			})
 		}
-		if cut {
-			place := func(i int) int { return i }
-			parts(7*sec+2250*ms, f.members[3:], 4096, func(int) int { return 0 })
-			parts(7*sec+4300*ms, f.members[:3], 3, place)
-			parts(18*sec, f.members, 5, place)
+		if partitioned {
+			sameIndex := func(i int) int { return i }
+			setBalancers(7*sec+2250*ms, f.members[3:], 4096, func(int) int { return 0 })
+			setBalancers(7*sec+4300*ms, f.members[:3], 3, sameIndex)
+			setBalancers(18*sec, f.members, 5, sameIndex)
 		}
 		f.run()
 		f.checkFinalState()
 		return f.maxOverloadRatio
 	}
-	calm, cut := day(false), day(true)
-	t.Logf("pressure %.2f of a fall, %.2f with two of five cut off", calm, cut)
-	if cut > 0.95 {
-		t.Errorf("%.2f of what pushes a cold endpoint over", cut)
+	connected, partitioned := simulate(false), simulate(true)
+	t.Logf("largest overload ratio %.2f, and %.2f with two of five balancers partitioned", connected, partitioned)
+	if partitioned > 0.95 {
+		t.Errorf("an endpoint in slow start got %.2f of the work that overloads it, want at most 0.95", partitioned)
 	}
 }
 
-// A zone falls silent and comes back cold while half of the balancers know nothing of it for 6 s, and a third of them
-// are killed and come back with stale lists: no rule broken, no cold endpoint pushed over by those who were told and
-// those who were not, and no more attempts than the retry budgets of all allow. It guards against all balancers' turning
-// to what returns, and to the zones left, at the same moment.
+// A zone stops answering and restarts. Half of the balancers learn of the restart 6 s late, and a third of them are killed and start
+// again with stale lists. No rule is broken. No endpoint in slow start is overloaded by the balancers that know of the restart and
+// those that do not. The attempts stay within the retry budgets of all balancers. The test guards against all balancers moving to the
+// other zones, or to the restarted one, at the same moment.
 func TestFleetZoneRestartOverloadsNoEndpoint(t *testing.T) {
 	for _, balancers := range []int{1, 10, 80, 200} {
 		f := newFleet(t, balancers, 60, 0.6, 30*sec)
@@ -517,16 +521,16 @@
 			}
 		})
 		f.schedule(14*sec, func() {
-			var back []Server
+			var restarted []Server
 			for id := ServerID(1); id <= 60; id++ {
 				if e := f.endpoints[id]; e.hanging {
 					e.hanging, e.busyUntil, e.StartedAt, e.completions = false, f.now, f.now, nil
-					back = append(back, e.Server)
+					restarted = append(restarted, e.Server)
 				}
 			}
 			for i, m := range f.members {
-				stale := time.Duration(i%2) * 6 * sec
-				f.schedule(stale+time.Duration(f.rng.Float64()*float64(sec)), func() { m.receiveList(Delta, back) })
+				delay := time.Duration(i%2) * 6 * sec
+				f.schedule(delay+time.Duration(f.rng.Float64()*float64(sec)), func() { m.receiveList(Delta, restarted) })
 				if i%3 == 1 {
 					f.schedule(2*sec, m.restart)
 				}
@@ -534,22 +538,22 @@
 		})
 		f.run()
 		f.checkFinalState()
-		all := 0
+		requests := 0
 		for _, n := range f.arrived {
-			all += n
+			requests += n
 		}
-		good := float64(f.inTime[10]) / float64(f.arrived[10])
-		t.Logf("%d balancers: pressure %.2f of a fall, attempts %.2f a request, %.2f of the worthiest in time", balancers,
-			f.maxOverloadRatio, float64(f.sends)/float64(all), good)
-		// With 200 balancers each has too few calls for its budget to be the bound: half of them don't know of the start.
-		if most := map[bool]float64{true: 0.8, false: 1.25}[balancers <= 80]; f.maxOverloadRatio > most {
-			t.Errorf("%d balancers: %.2f of what pushes a cold endpoint over", balancers, f.maxOverloadRatio)
+		servedShare := float64(f.inTime[10]) / float64(f.arrived[10])
+		t.Logf("%d balancers: largest overload ratio %.2f, attempts per request %.2f, %.2f of weight 10 answered in time", balancers,
+			f.maxOverloadRatio, float64(f.sends)/float64(requests), servedShare)
+		// With 200 balancers each has too few requests for its budget to be the bound, and half of them do not know of the restart.
+		if limit := map[bool]float64{true: 0.8, false: 1.25}[balancers <= 80]; f.maxOverloadRatio > limit {
+			t.Errorf("%d balancers: an endpoint in slow start got %.2f of the work that overloads it, want at most 0.8 (up to 80 balancers) or 1.25", balancers, f.maxOverloadRatio)
 		}
-		if float64(f.sends) > (1+retryBudgetRatio)*float64(all) {
-			t.Errorf("%d balancers: %d attempts for %d requests", balancers, f.sends, all)
+		if float64(f.sends) > (1+retryBudgetRatio)*float64(requests) {
+			t.Errorf("%d balancers: %d attempts for %d requests, want at most 1+retryBudgetRatio per request", balancers, f.sends, requests)
 		}
-		if good < 0.9 {
-			t.Errorf("%d balancers: %.2f of the worthiest in time", balancers, good)
+		if servedShare < 0.9 {
+			t.Errorf("%d balancers: %.2f of weight 10 answered in time, want at least 0.9", balancers, servedShare)
 		}
 	}
 }
--- a/lbpolicy/hedge_test.go
+++ b/lbpolicy/hedge_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request whose server has answered another one after it was sent, and stops then, is not left to its deadline
-// (docs/incidents/stopped-after-an-answer.md).
+// A request whose server stops answering, after it has answered another request sent at the same time, is hedged or cancelled before
+// its deadline (docs/incidents/stopped-after-an-answer.md).
 func TestServerThatStopsAfterAnAnswerIsHedged(t *testing.T) {
 	for _, hedges := range []bool{true, false} {
 		t.Run(fmt.Sprintf("hedges %t", hedges), func(t *testing.T) {
@@ -19,26 +19,26 @@
 				b.Request(sec, Request{ID: id, Class: 0, TimeLeft: 3 * sec})
 			}
 			first := RequestID(0)
-			left := first + 1
-			for h.sends[left] != h.sends[first] {
-				left++
+			unanswered := first + 1
+			for h.sends[unanswered] != h.sends[first] {
+				unanswered++
 			}
-			for id, to := range h.sends {
-				if RequestID(id) != left {
-					b.Outcome(sec+ms, Outcome{ID: RequestID(id), Server: to, Verdict: OK, Latency: ms, Final: true})
+			for id, server := range h.sends {
+				if RequestID(id) != unanswered {
+					b.Outcome(sec+ms, Outcome{ID: RequestID(id), Server: server, Verdict: OK, Latency: ms, Final: true})
 				}
 			}
-			for range 3 { // checks; the first one finds the answer
-				b.Timer(h.timers[uint64(left)], uint64(left))
+			for range 3 { // checks; the first one finds the answer to the other request
+				b.Timer(h.timers[uint64(unanswered)], uint64(unanswered))
 			}
-			if hedges && len(h.sends) != requests+1 || !hedges && h.count(fmt.Sprintf("cancel %d 0", left)) == 0 {
-				t.Errorf("nothing is done until %v: %v", h.timers[uint64(left)], h.actions)
+			if hedges && len(h.sends) != requests+1 || !hedges && h.count(fmt.Sprintf("cancel %d 0", unanswered)) == 0 {
+				t.Errorf("request neither hedged nor cancelled until %v: actions %v", h.timers[uint64(unanswered)], h.actions)
 			}
 		})
 	}
 }
 
-// A balancer that takes over hedges a request no sooner than the one before it, or one that starts without its state.
+// A balancer that restores a snapshot hedges a request no sooner than its predecessor, as does one that starts without the snapshot.
 func TestSnapshotKeepsHedgeDelay(t *testing.T) {
 	for _, answers := range []int{1, 4, 40} {
 		for _, idle := range []time.Duration{0, sec, 8 * sec} {
@@ -59,12 +59,12 @@
 					}
 					delays[name] = hedgeDelay(next, nextHost, now, idle)
 				}
-				// Their periods begin at other times, so that one may have followed the latency for one period more.
+				// The periods of the balancers begin at different times. One may have adjusted its base latency for one period more.
 				onePeriodMore := 1 - smoothingWeight(before.period.Seconds(), baseLatencyDownTime)
 				want := hedgeDelay(before, host, now, idle)
 				for name, delay := range delays {
 					if delay.Seconds() < onePeriodMore*want.Seconds() {
-						t.Errorf("%s: hedged after %v, not %v", name, delay, want)
+						t.Errorf("%s: hedged after %v, want %v", name, delay, want)
 					}
 				}
 			})
@@ -72,7 +72,8 @@
 	}
 }
 
-// hedgeDelay returns how long a request waits for its check. The balancer has an event each 50 ms until it arrives.
+// hedgeDelay returns how long after its arrival a request is checked for hedging. Until it arrives, at the end of the idle time, the
+// balancer has an event each 50 ms.
 func hedgeDelay(b *Balancer, h *recorder, now, idle time.Duration) time.Duration {
 	const id = 1000
 	for end := now + idle; now < end; now += 50 * ms {
--- a/lbpolicy/panic_test.go
+++ b/lbpolicy/panic_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A pool of which all servers are ejected within one period is used all the same: the fault is not in single servers, as
-// isInPanic says. The number of ejected servers was brought up to date once a period. Until then a request found no
-// panic, no server that is not ejected, and was rejected: 503 where all servers stood ready. In the log both servers
-// of a pool went out within a millisecond, and requests of the next second were rejected at once.
+// Servers get requests even if all of them are ejected within one period, as the fault is not in single servers then (isInPanic).
+// The count of ejected servers is updated once a period. Where panic depends on that count alone, requests until the next update find
+// no server that is not ejected and are rejected with 503, though all servers are ready. In a log, both servers of a pool were ejected
+// within a millisecond, and the requests of the next second were rejected.
 func TestServersEjectedWithinOnePeriodStillGetRequests(t *testing.T) {
 	for _, servers := range []int{1, 2, 3, 8} {
 		b, h := newBalancer(t, testSettings(), readyServers(servers)...)
@@ -16,12 +16,12 @@
 		}
 		b.Request(sec+2*ms, Request{ID: 2, TimeLeft: 3 * sec})
 		if h.count("send 2") != 1 {
-			t.Errorf("%d servers: acts %v", servers, h.actions)
+			t.Errorf("%d servers: actions %v, want request 2 sent", servers, h.actions)
 		}
 		if b.nextStep < sec+2*ms {
-			t.Error("tests little: a period has passed")
+			t.Error("test has no effect: a period has passed")
 		}
-		// One that answers is no outlier any more: requests go to it, and to no ejected one.
+		// A server that answers is no longer ejected: requests go to it, and to no ejected server.
 		b.recordOutcome(sec+3*ms, b.subset[0], Outcome{Verdict: OK, Latency: ms})
 		for id := RequestID(3); id < 20 && servers > 1; id++ {
 			b.Request(sec+4*ms, Request{ID: id, Class: 4, TimeLeft: 3 * sec})
--- a/lbpolicy/pause_test.go
+++ b/lbpolicy/pause_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// pausePool plays a balancer in front of servers that answer after answerTime, and one of which may hang, with
-// clients that have one request out at a time. The process of the balancer can stand still: its timers and the
-// answers of its servers, which go on, come to it after the pause, the timers first.
+// pausePool simulates a balancer in front of servers that answer after answerTime, of which one may hang. Each client has one request
+// in flight at a time. The balancer's process can be paused while its servers go on. Its timers and the answers that are due in the
+// pause come after it, the timers first.
 type pausePool struct {
 	t            *testing.T
 	balancer     *Balancer
@@ -19,18 +19,18 @@
 	lastSequence int
 	timerDelay   time.Duration // of each timer
 	hanging      ServerID      // 0: none
-	hangingSince time.Duration // its first request that it does not answer; 0: there is none
+	hangingSince time.Duration // when the first request that it does not answer was sent; 0: none yet
 	pausedFrom   time.Duration
 	pausedTo     time.Duration
 	thinkTime    time.Duration // between a client's requests
 	nextID       RequestID
 	attempts     map[RequestID]int
 	inFlight     map[attemptKey]*simulatedAttempt
-	stallFrom    time.Duration // nothing is read from then on, though the process runs
+	stallFrom    time.Duration // answers are not read from then on, though the process runs
 	stallTo      time.Duration
-	lastServer   ServerID // that got an attempt
+	lastServer   ServerID // that got the latest attempt
 	hedges       int
-	ejected      map[ServerID]time.Duration // when first
+	ejected      map[ServerID]time.Duration // when each was first ejected
 	stopped      bool
 }
 
@@ -49,7 +49,7 @@
 type simulatedAttempt struct {
 	server     ServerID
 	writtenAt  time.Duration // 0: not yet
-	answeredAt time.Duration // when the answer arrives, read or not; 0: it does not
+	answeredAt time.Duration // when the answer arrives, read or not; 0: no answer
 }
 
 type simulatedEvent struct {
@@ -72,9 +72,9 @@
 	return last
 }
 
-func newPausePool(t *testing.T, clients int, think time.Duration) *pausePool {
+func newPausePool(t *testing.T, clients int, thinkTime time.Duration) *pausePool {
 	t.Helper()
-	p := &pausePool{t: t, now: sec, thinkTime: think, attempts: map[RequestID]int{}, inFlight: map[attemptKey]*simulatedAttempt{}, ejected: map[ServerID]time.Duration{}}
+	p := &pausePool{t: t, now: sec, thinkTime: thinkTime, attempts: map[RequestID]int{}, inFlight: map[attemptKey]*simulatedAttempt{}, ejected: map[ServerID]time.Duration{}}
 	var err error
 	p.balancer, err = New(testSettings(), 7, p)
 	if err != nil {
@@ -87,18 +87,18 @@
 	return p
 }
 
-// schedule schedules an event of the balancer's process, which does not happen while that stands still.
+// schedule schedules an event of the balancer's process. One that is due in a pause happens at its end.
 func (p *pausePool) schedule(d time.Duration, handle func()) { p.scheduleAt(p.now+d, 0, handle) }
 
-func (p *pausePool) scheduleAt(at, behindPause time.Duration, handle func()) {
+func (p *pausePool) scheduleAt(at, delayAfterPause time.Duration, handle func()) {
 	if at >= p.pausedFrom && at < p.pausedTo {
-		at = p.pausedTo + behindPause
+		at = p.pausedTo + delayAfterPause
 	}
 	p.lastSequence++
 	heap.Push(&p.events, simulatedEvent{max(at, p.now), p.lastSequence, handle})
 }
 
-// pause has the process stand still from now on.
+// pause stops the process from now on.
 func (p *pausePool) pause(d time.Duration) {
 	p.pausedFrom, p.pausedTo = p.now, p.now+d
 	queued := p.events
@@ -112,7 +112,7 @@
 	}
 }
 
-// run plays until a time.
+// run simulates until a time.
 func (p *pausePool) run(until time.Duration) {
 	for len(p.events) > 0 && p.events[0].at <= until {
 		e := heap.Pop(&p.events).(simulatedEvent)
@@ -130,7 +130,7 @@
 	p.balancer.Request(p.now, Request{ID: p.nextID, Class: 0, TimeLeft: 3 * sec})
 }
 
-// Send implements Host. An answer that arrives in a pause is read after it, behind the timers that were due.
+// Send implements Host. An answer that arrives in a pause is read after it, later than the timers that were due.
 func (p *pausePool) Send(id RequestID, s ServerID) {
 	attempt := p.attempts[id]
 	p.attempts[id]++
@@ -160,13 +160,13 @@
 	})
 }
 
-// scheduleArrival schedules what comes from outside: in a pause it waits in a socket.
+// scheduleArrival schedules an answer from the network. In a pause it waits in its socket.
 func (p *pausePool) scheduleArrival(at time.Duration, handle func()) {
 	if at >= p.stallFrom && at < p.stallTo {
 		at = p.stallTo
 	}
 	p.scheduleAt(at, readTime, func() {
-		if p.now == p.pausedTo { // it was on its way as the pause began
+		if p.now == p.pausedTo { // the answer was in flight when the pause began
 			p.scheduleAt(p.now+readTime, 0, handle)
 			return
 		}
@@ -224,10 +224,10 @@
 	}
 }
 
-// A balancer's process that stood still must not take that for a silence of its servers: their answers have arrived
-// and are not read yet when the timers that were due in the pause, or the first answer, have the servers checked. Up to
-// now each server with a request in flight was ejected then ("out: silent"), and hedged requests went out for all of
-// them. The trace of such a play shows the order: the timer, the ejections, and the answers within a millisecond.
+// A pause of the balancer's process does not count as silence of its servers. After a pause, a timer that was due or the first answer
+// has the servers checked, before the answers that arrived in the pause are read. The fault that this guards against: each server
+// with a request in flight was ejected ("out: silent") and each of these requests was hedged. A trace of it has the timer, the
+// ejections and then the answers, all within a millisecond.
 func TestPauseIsNoSilence(t *testing.T) {
 	for _, clients := range []int{1, 8} {
 		for _, pause := range []time.Duration{30 * ms, 150 * ms, 300 * ms, 2 * sec} {
@@ -251,7 +251,7 @@
 	}
 }
 
-// Answers that have arrived and are read late, by a process whose timers run, are no silence of their servers
+// Answers that have arrived but are read late, by a process whose timers run, do not count as silence of their servers
 // (docs/incidents/answers-read-late.md).
 func TestAnswersReadLateEjectNoServer(t *testing.T) {
 	for _, clients := range []int{1, 8} {
@@ -276,43 +276,42 @@
 	}
 }
 
-// A server that hangs is found as soon as before: its requests have waited unresponsiveMultiple times the usual
-// latency, and servers are checked once a period. That holds where timers are late, and where the process stands
-// still meanwhile, apart from the time that it stands still.
+// A server that hangs is ejected once its requests have waited unresponsiveMultiple times the usual latency, at the next check of the
+// period. Late timers and a pause of the process delay that by no more than their own length.
 func TestHangingServerIsFound(t *testing.T) {
 	const phases = 40
-	for _, play := range []struct {
+	for _, test := range []struct {
 		clients           int
 		timerDelay, pause time.Duration
 	}{{8, 0, 0}, {8, 5 * ms, 0}, {8, 20 * ms, 0}, {8, 50 * ms, 0}, {8, 0, 150 * ms}, {8, 20 * ms, 300 * ms},
 		{2, 0, 0}, {2, 5 * ms, 0}, {2, 50 * ms, 0}, {2, 0, 300 * ms}} {
-		t.Run(fmt.Sprintf("%d clients, timers late by %v, pause %v", play.clients, play.timerDelay, play.pause), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d clients, timers late by %v, pause %v", test.clients, test.timerDelay, test.pause), func(t *testing.T) {
 			sum, longest := time.Duration(0), time.Duration(0)
 			for phase := range phases {
-				p := newPausePool(t, play.clients, 0)
-				p.timerDelay = play.timerDelay
+				p := newPausePool(t, test.clients, 0)
+				p.timerDelay = test.timerDelay
 				p.run(3*sec + time.Duration(phase)*7*ms)
 				p.hanging = p.lastServer
 				usual := p.balancer.usualLatency()
-				if play.pause > 0 {
+				if test.pause > 0 {
 					p.run(p.now + 20*ms)
-					p.pause(play.pause)
+					p.pause(test.pause)
 				}
 				for p.ejected[p.hanging] == 0 && p.now < 20*sec {
 					p.run(p.now + ms)
 				}
-				found := p.ejected[p.hanging] - p.hangingSince
-				sum += found
-				longest = max(longest, found)
+				ejectedAfter := p.ejected[p.hanging] - p.hangingSince
+				sum += ejectedAfter
+				longest = max(longest, ejectedAfter)
 				wait := time.Duration(unresponsiveMultiple * usual * float64(sec))
-				if allowed := wait + p.balancer.period + play.pause + 2*play.timerDelay + answerTime; found > allowed {
-					t.Errorf("phase %d: found after %v, allowed are %v", phase, found, allowed)
+				if allowed := wait + p.balancer.period + test.pause + 2*test.timerDelay + answerTime; ejectedAfter > allowed {
+					t.Errorf("phase %d: hanging server ejected after %v, want at most %v", phase, ejectedAfter, allowed)
 				}
 				if len(p.ejected) != 1 {
-					t.Errorf("phase %d: ejected %v", phase, p.ejected)
+					t.Errorf("phase %d: ejected %v, want the hanging server alone", phase, p.ejected)
 				}
 			}
-			t.Logf("found after %v on average, %v at most", sum/phases, longest)
+			t.Logf("hanging server ejected after %v on average, %v at most", sum/phases, longest)
 		})
 	}
 }
--- a/lbpolicy/rules_test.go
+++ b/lbpolicy/rules_test.go
@@ -8,7 +8,11 @@
 	"time"
 )
 
-// randomWorkload drives a Balancer through a long legal sequence of events and checks the four rules at every action.
+// randomWorkload drives a Balancer through a long random sequence of legal events, and checks the four rules of the policy at every action:
+//  1. A request gets one final answer. No attempt follows it, the deadline, or the last attempt allowed.
+//  2. A request is not repeated, and its client not told to retry, where it could take effect twice.
+//  3. Servers that are draining, removed or manually ejected get no new request.
+//  4. Servers in slow start are not overloaded.
 type randomWorkload struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -16,12 +20,12 @@
 	balancer        *Balancer
 	now             time.Duration
 	requests        map[RequestID]*trackedRequest
-	openRequests    []RequestID // not yet forgotten, in order of arrival
+	openRequests    []RequestID // with attempts in flight, in order of arrival
 	timers          []timer
 	listed          map[ServerID]Server
-	slowStartSends  map[ServerID][]time.Duration // to servers that are cold
+	slowStartSends  map[ServerID][]time.Duration // to servers in slow start
 	checks          int
-	injectDelays    bool // timers ring late and some servers hang
+	injectDelays    bool // timers fire late and some servers hang
 	manuallyEjected map[ServerID]bool
 }
 
@@ -37,7 +41,7 @@
 	attempts     []trackedAttempt
 	keyState     KeyState
 	disconnected bool
-	maxAttempts  int // attempts allowed when it came
+	maxAttempts  int // as of its arrival
 }
 
 type trackedAttempt struct {
@@ -57,33 +61,33 @@
 
 func (w *randomWorkload) Send(id RequestID, to ServerID) {
 	r, s := w.requests[id], w.listed[to]
-	w.check(r.finalAnswers == 0 && !r.disconnected && w.now < r.deadline, "rule 1: sent after its end", id)
+	w.check(r.finalAnswers == 0 && !r.disconnected && w.now < r.deadline, "rule 1: attempt sent after the final answer or the deadline", id)
 	w.check(len(r.attempts) < min(w.cfg.MaxAttempts, r.maxAttempts), "rule 1: too many attempts", id)
-	w.check(s.State == Ready && !w.manuallyEjected[to], "rule 3: sent to a server that drains, is gone or banned", id)
+	w.check(s.State == Ready && !w.manuallyEjected[to], "rule 3: attempt sent to a server that is draining, removed or manually ejected", id)
 	for _, a := range r.attempts {
-		w.check(a.ended || w.cfg.MayHedge, "rule 2: a second copy where none is allowed", id)
-		w.check(a.neverRan || w.mayRepeat(r, a, s), "rule 2: may have an effect twice", id)
+		w.check(a.ended || w.cfg.MayHedge, "rule 2: request hedged where that is not allowed", id)
+		w.check(a.neverRan || w.mayRepeat(r, a, s), "rule 2: repeat of an attempt that may have run", id)
 	}
 	if p := r.keyState; p.Known {
 		group := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && p.Zone == s.Zone ||
 			r.class.Scope == ScopeCell && p.Cell == s.Cell
-		w.check(!p.Unavailable && group && w.now < p.RetryUntil, "rule 2: a repeat outside its group or window", id)
+		w.check(!p.Unavailable && group && w.now < p.RetryUntil, "rule 2: repeat outside its group of servers or its window", id)
 	}
 	r.attempts = append(r.attempts, trackedAttempt{server: s, sentAt: w.now})
 	w.checkSlowStart(id, s)
 }
 
-func (w *randomWorkload) mayRepeat(r *trackedRequest, a trackedAttempt, s Server) bool {
-	same := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && a.server.Zone == s.Zone ||
-		r.class.Scope == ScopeCell && a.server.Cell == s.Cell
-	return r.class.Effect == Idempotent || r.class.Effect == KeyedIdempotent && same && w.now-a.sentAt < r.class.Window
+func (w *randomWorkload) mayRepeat(request *trackedRequest, attempt trackedAttempt, server Server) bool {
+	inGroup := request.class.Scope == ScopeAll || request.class.Scope == ScopeZone && attempt.server.Zone == server.Zone ||
+		request.class.Scope == ScopeCell && attempt.server.Cell == server.Cell
+	return request.class.Effect == Idempotent || request.class.Effect == KeyedIdempotent && inGroup && w.now-attempt.sentAt < request.class.Window
 }
 
-// checkSlowStart holds the sends of any window to a checkSlowStart server against what it could do, were it as large as the even share
-// of the most that arrives.
+// checkSlowStart checks the number of attempts that a server in slow start gets in an overload window. A warmed-up server is taken to
+// answer an even share of 1.5 times the arrival rate.
 func (w *randomWorkload) checkSlowStart(id RequestID, s Server) {
-	c := w.balancer.capacity(w.now, w.balancer.servers[s.ID])
-	if c >= 1 {
+	capacityShare := w.balancer.capacity(w.now, w.balancer.servers[s.ID])
+	if capacityShare >= 1 {
 		return
 	}
 	w.slowStartSends[s.ID] = append(w.slowStartSends[s.ID], w.now)
@@ -92,19 +96,19 @@
 		recent = recent[1:]
 	}
 	w.slowStartSends[s.ID] = recent
-	even := 1.5 * arrivalRate * w.cfg.OverloadWindow.Seconds() / float64(len(w.balancer.subset))
-	w.check(float64(len(recent)) <= 2+w.cfg.OverloadMultiple*c*even, "rule 4: a cold server pushed over", id)
+	evenShare := 1.5 * arrivalRate * w.cfg.OverloadWindow.Seconds() / float64(len(w.balancer.subset))
+	w.check(float64(len(recent)) <= 2+w.cfg.OverloadMultiple*capacityShare*evenShare, "rule 4: server in slow start overloaded", id)
 }
 
-func (w *randomWorkload) recordFinalAnswer(id RequestID, refusal bool) {
+func (w *randomWorkload) recordFinalAnswer(id RequestID, rejected bool) {
 	r := w.requests[id]
-	w.check(r.finalAnswers == 0 && !r.disconnected, "rule 1: a second final answer", id)
+	w.check(r.finalAnswers == 0 && !r.disconnected, "rule 1: second final answer", id)
 	r.finalAnswers++
 	harmless := r.class.Effect == Idempotent || r.class.Effect == KeyedIdempotent && r.class.Scope == ScopeAll
-	p := r.keyState
-	w.check(!refusal || !p.Known || harmless && w.now < p.RetryUntil, "rule 2: refused though an earlier try may have run", id)
+	keyState := r.keyState
+	w.check(!rejected || !keyState.Known || harmless && w.now < keyState.RetryUntil, "rule 2: rejected though an earlier request with the key may have run", id)
 	for _, a := range r.attempts {
-		w.check(!refusal || harmless || a.neverRan, "rule 2: refused where a retry may do harm", id)
+		w.check(!rejected || harmless || a.neverRan, "rule 2: rejected though a retry may take effect twice", id)
 	}
 }
 
@@ -117,13 +121,13 @@
 func (w *randomWorkload) WaitsSince(RequestID, int) time.Duration { return 0 }
 func (w *randomWorkload) Hedged(Hedge)                            {}
 func (w *randomWorkload) Cancel(id RequestID, n int) {
-	w.check(w.cfg.MayCancel && !w.requests[id].attempts[n].ended, "cancelled what is not out", id)
+	w.check(w.cfg.MayCancel && !w.requests[id].attempts[n].ended, "cancelled an attempt that is not in flight, or without permission to cancel", id)
 }
 func (w *randomWorkload) SetTimer(at time.Duration, token uint64) {
 	w.timers = append(w.timers, timer{at, token})
 }
 
-const arrivalRate = 100.0 // a second
+const arrivalRate = 100.0 // requests per second
 
 func newRandomWorkload(t *testing.T, seed uint64) *randomWorkload {
 	t.Helper()
@@ -145,7 +149,7 @@
 	return w
 }
 
-// updateEndpoints tells of changes: servers that start, drain, restart and go.
+// updateEndpoints sends a random list: servers that start, drain, restart and are removed.
 func (w *randomWorkload) updateEndpoints(kind ListKind, changes int) {
 	var entries []Server
 	for range changes {
@@ -166,7 +170,7 @@
 	}
 	for _, e := range entries {
 		if e.StartedAt != w.listed[e.ID].StartedAt {
-			delete(w.slowStartSends, e.ID) // a new process: the old one's calls weigh on nobody
+			delete(w.slowStartSends, e.ID) // a new process: the requests to the old one do not count
 		}
 		w.listed[e.ID] = e
 	}
@@ -185,13 +189,13 @@
 	w.balancer.Request(w.now, Request{ID: id, Class: class, Tenant: w.rng.IntN(3) - 1, TimeLeft: left, Retry: w.rng.IntN(5) == 0, KeyState: r.keyState})
 }
 
-// drawKeyState draws what other requests with a key have done.
+// drawKeyState draws a state of a request's key.
 func (w *randomWorkload) drawKeyState() KeyState {
 	return KeyState{Known: true, Unavailable: w.rng.IntN(10) == 0, Zone: w.rng.IntN(3), Cell: w.rng.IntN(4),
 		RetryUntil: w.now + time.Duration(w.rng.Float64()*float64(3*time.Second))}
 }
 
-// updateKeyState has a request's key bound by another request, as its own attempts allow.
+// updateKeyState changes the state of a random request's key, as if another request had used the key.
 func (w *randomWorkload) updateKeyState() {
 	if len(w.openRequests) == 0 {
 		return
@@ -203,7 +207,7 @@
 	}
 }
 
-// endAttempt ends an attempt, by the clock or by chance.
+// endAttempt ends an attempt with a verdict.
 func (w *randomWorkload) endAttempt(id RequestID, n int, v Verdict) {
 	r := w.requests[id]
 	a := &r.attempts[n]
@@ -219,46 +223,46 @@
 	w.balancer.Outcome(w.now, o)
 }
 
-// endAttempts gives each attempt that is out a chance to end and forgets requests with nothing out.
+// endAttempts ends attempts in flight at random or at their deadlines. It checks requests without attempts in flight, and forgets them.
 func (w *randomWorkload) endAttempts() {
 	verdicts := []Verdict{OK, OK, OK, OK, Error, ServerFull, ConnectFailed, Reset, Cancelled}
-	keep := w.openRequests[:0:0]
+	stillOpen := w.openRequests[:0:0]
 	for _, id := range w.openRequests {
 		r := w.requests[id]
 		for n := 0; n < len(r.attempts); n++ {
-			hung := w.injectDelays && r.attempts[n].server.ID%4 == 0
+			hanging := w.injectDelays && r.attempts[n].server.ID%4 == 0
 			switch {
 			case r.attempts[n].ended:
 			case w.now >= r.deadline:
 				w.endAttempt(id, n, Timeout)
-			case hung && w.rng.IntN(200) == 0:
+			case hanging && w.rng.IntN(200) == 0:
 				w.endAttempt(id, n, Reset)
-			case !hung && w.rng.IntN(12) == 0:
+			case !hanging && w.rng.IntN(12) == 0:
 				w.endAttempt(id, n, verdicts[w.rng.IntN(len(verdicts))])
 			}
 		}
-		out := false
+		inFlight := false
 		for _, a := range r.attempts {
-			out = out || !a.ended
+			inFlight = inFlight || !a.ended
 		}
-		if out {
-			keep = append(keep, id)
+		if inFlight {
+			stillOpen = append(stillOpen, id)
 			continue
 		}
-		w.check(r.finalAnswers == 1 || r.disconnected, "rule 1: nothing out and no final answer", id)
+		w.check(r.finalAnswers == 1 || r.disconnected, "rule 1: no attempt in flight and no final answer", id)
 	}
-	w.openRequests = keep
+	w.openRequests = stillOpen
 }
 
 func (w *randomWorkload) fireTimers() {
 	due := w.timers
 	w.timers = nil
-	for _, at := range due {
-		if at.at > w.now || w.rng.IntN(200) > 0 && w.injectDelays {
-			w.timers = append(w.timers, at)
+	for _, timer := range due {
+		if timer.at > w.now || w.rng.IntN(200) > 0 && w.injectDelays {
+			w.timers = append(w.timers, timer)
 			continue
 		}
-		w.balancer.Timer(w.now, at.token)
+		w.balancer.Timer(w.now, timer.token)
 	}
 }
 
@@ -273,19 +277,19 @@
 	}
 }
 
-// changeManualEjection bans a server, listed or not, or ends that. At most a third of them are banned at once.
+// changeManualEjection ejects a server manually, listed or not, or restores it. At most a third of them are ejected at once.
 func (w *randomWorkload) changeManualEjection() {
 	id := ServerID(1 + w.rng.IntN(15))
-	on := w.rng.IntN(2) == 0 && len(w.manuallyEjected) < 5
-	if on {
+	eject := w.rng.IntN(2) == 0 && len(w.manuallyEjected) < 5
+	if eject {
 		w.manuallyEjected[id] = true
 	} else {
 		delete(w.manuallyEjected, id)
 	}
-	w.balancer.SetManuallyEjected(w.now, id, on)
+	w.balancer.SetManuallyEjected(w.now, id, eject)
 }
 
-// configure changes the settings: classes change places and effects, one comes or goes, attempts become fewer or more.
+// configure changes the settings: the order and the effects of classes, one class more or less, and the number of attempts.
 func (w *randomWorkload) configure() {
 	next := w.cfg
 	next.MaxAttempts = 1 + w.rng.IntN(3)
@@ -304,14 +308,14 @@
 		w.t.Fatal(err)
 	}
 	w.cfg = next
-	broken := next
-	broken.MaxAttempts = 0
-	if w.balancer.Configure(w.now, broken) == nil {
-		w.t.Fatal("settings with no attempts were taken")
+	invalid := next
+	invalid.MaxAttempts = 0
+	if w.balancer.Configure(w.now, invalid) == nil {
+		w.t.Fatal("settings that allow no attempts were accepted")
 	}
 }
 
-// The four rules hold through long random sequences of legal events under varied settings.
+// The four rules of randomWorkload hold through long random sequences of legal events under varied settings.
 func TestRandomEventsBreakNoRule(t *testing.T) {
 	for seed := range uint64(24) {
 		w := newRandomWorkload(t, seed)
