--- a/lbpolicy/fleet_slowstart_test.go
+++ b/lbpolicy/fleet_slowstart_test.go
@@ -23,20 +23,22 @@
 	return overloadStats{overloaded: map[ServerID]bool{}, overloadedByInformed: map[ServerID]bool{}}
 }
 
-func (f *overloadStats) record(e *simulatedEndpoint, now time.Duration, work, informedShare float64) {
+// record compares the work sent to an endpoint in one overload window with the bound. informedShare is the share of that work from
+// balancers that knew of the endpoint's start.
+func (s *overloadStats) record(e *simulatedEndpoint, now time.Duration, work, informedShare float64) {
 	settings := fleetSettings(1)
 	age := (now - e.StartedAt).Seconds() / settings.SlowStart.Seconds()
 	minimum := min(1, settings.InitialCapacity+(1-settings.InitialCapacity)*age)
 	n := settings.OverloadMultiple * minimum * settings.OverloadWindow.Seconds() / e.meanWork
 	ratio := work / e.meanWork / (n + 2*math.Sqrt(n) + 2)
-	f.maxRatio, f.maxMultiple = max(f.maxRatio, ratio), max(f.maxMultiple, work/e.meanWork/n)
+	s.maxRatio, s.maxMultiple = max(s.maxRatio, ratio), max(s.maxMultiple, work/e.meanWork/n)
 	if ratio > 1 {
-		f.overloaded[e.ID] = true
+		s.overloaded[e.ID] = true
 	}
 	if informedShare > 2./3 {
-		f.maxInformedRatio = max(f.maxInformedRatio, ratio)
+		s.maxInformedRatio = max(s.maxInformedRatio, ratio)
 		if ratio > 1 {
-			f.overloadedByInformed[e.ID] = true
+			s.overloadedByInformed[e.ID] = true
 		}
 	}
 }
@@ -109,6 +111,7 @@
 	}
 }
 
+// doubledRate returns the factor of an arrival rate that doubles for 6 s.
 func doubledRate(now time.Duration) float64 {
 	if now > 11*sec && now < 17*sec {
 		return 2
@@ -204,8 +207,8 @@
 	})
 }
 
-// Endpoints in slow start get the first attempts, retries and hedged requests of all balancers together. Those that know of the start
-// overload no endpoint in any overload window, and no rule is broken, in any scenario and at any fleet size.
+// Endpoints in slow start get the first attempts, retries and hedged requests of all balancers together. Balancers that know of an
+// endpoint's start do not overload it in any overload window. No rule is broken in any scenario, at any fleet size.
 func TestFleetCold(t *testing.T) {
 	for _, test := range slowStartScenarios {
 		t.Run(test.name, func(t *testing.T) {
@@ -266,10 +269,12 @@
 
 type slowStartHost struct {
 	*member //nolint:unused // its methods are the actions that this host ignores
-	f       *slowStartFleet
+	fleet   *slowStartFleet
 }
 
-func (h slowStartHost) Send(_ RequestID, to ServerID)           { h.f.sends[to] = append(h.f.sends[to], h.f.now) }
+func (h slowStartHost) Send(_ RequestID, to ServerID) {
+	h.fleet.sends[to] = append(h.fleet.sends[to], h.fleet.now)
+}
 func (h slowStartHost) Reject(RequestID, time.Duration)         {}
 func (h slowStartHost) Fail(RequestID)                          {}
 func (h slowStartHost) Cancel(RequestID, int)                   {}
@@ -293,7 +298,7 @@
 	for i := range balancers {
 		cfg := fleetSettings(balancers)
 		cfg.Index, cfg.Zone, cfg.MaxAttempts = i, i%3, 1
-		b, err := New(cfg, uint64(i), slowStartHost{f: f})
+		b, err := New(cfg, uint64(i), slowStartHost{fleet: f})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -327,8 +332,8 @@
 			for first > 0 && sentAt[first-1] > last-settings.OverloadWindow {
 				first--
 			}
-			c := settings.InitialCapacity + (1-settings.InitialCapacity)*(last-sec).Seconds()/settings.SlowStart.Seconds()
-			n := settings.OverloadMultiple * c * fullRequestRate * settings.OverloadWindow.Seconds()
+			capacityShare := settings.InitialCapacity + (1-settings.InitialCapacity)*(last-sec).Seconds()/settings.SlowStart.Seconds()
+			n := settings.OverloadMultiple * capacityShare * fullRequestRate * settings.OverloadWindow.Seconds()
 			if got := float64(i - first + 1); got > n+2*math.Sqrt(n)+2 {
 				f.t.Fatalf("endpoint %d got %.0f requests in the overload window up to %v, want at most %.1f", id, got, last, n+2*math.Sqrt(n)+2)
 			}
--- a/lbpolicy/fleet_test.go
+++ b/lbpolicy/fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // fleet simulates many balancers in front of one set of endpoints in virtual time, and counts their actions together. What is safe
-// for one balancer may overload an endpoint when all of them do it.
+// for one balancer may overload an endpoint when all of them do it. The rules that it checks are those of randomWorkload.
 type fleet struct {
 	scenario
 	t               *testing.T
@@ -52,7 +52,7 @@
 	*fleet
 	balancer         *Balancer
 	listedStates     map[ServerID]State
-	listedStartTimes map[ServerID]time.Duration // as listed
+	listedStartTimes map[ServerID]time.Duration
 	clientRequests   map[RequestID]*simulatedRequest
 	successor        *member // that has replaced it; nil: none
 }
@@ -65,7 +65,7 @@
 	openAttempts map[int]bool
 }
 
-// simulatedEndpoint is one core that answers requests one after another. In slow start it has more capacity than the
+// simulatedEndpoint is one core that answers requests one after another. In most scenarios it has more capacity in slow start than the
 // balancers' settings assume: it starts at a quarter, where they assume a seventh, and is warmed up in two thirds of the time.
 type simulatedEndpoint struct {
 	Server
@@ -170,7 +170,7 @@
 	return f
 }
 
-// startBalancer starts a balancer.
+// startBalancer adds a balancer with the settings of the scenario to the members.
 func (f *fleet) startBalancer(i int, seed uint64) *member {
 	cfg := fleetSettings(f.balancerCount)
 	if f.scenario.configuredBalancers > 0 {
@@ -210,7 +210,7 @@
 	}
 }
 
-func (m *member) scheduleRequest(rate float64, n int) {
+func (m *member) scheduleRequest(rate float64, requests int) {
 	currentRate := rate
 	if m.rateFactor != nil {
 		currentRate *= m.rateFactor(m.now)
@@ -220,75 +220,75 @@
 			return
 		}
 		if m.successor != nil {
-			m.successor.scheduleRequest(rate, n+1)
+			m.successor.scheduleRequest(rate, requests+1)
 			return
 		}
-		id, class := RequestID(n+1), min(m.rng.IntN(5)/2, 2)
+		id, class := RequestID(requests+1), min(m.rng.IntN(5)/2, 2)
 		request := &simulatedRequest{class: m.balancer.settings.Classes[class], arrivedAt: m.now, openAttempts: map[int]bool{}}
 		m.clientRequests[id] = request
 		m.arrived[request.class.PriorityWeight]++
 		m.balancer.Request(m.now, Request{ID: id, Class: class, Tenant: -1, TimeLeft: request.class.Deadline})
-		m.scheduleRequest(rate, n+1)
+		m.scheduleRequest(rate, requests+1)
 	})
 }
 
 func (m *member) traceAction(action string, id RequestID, s ServerID) {
-	h := fnv.New64a()
-	fmt.Fprint(h, m.trace, m.now, m.balancer.settings.Index, action, id, s)
-	m.trace = h.Sum64()
+	hash := fnv.New64a()
+	fmt.Fprint(hash, m.trace, m.now, m.balancer.settings.Index, action, id, s)
+	m.trace = hash.Sum64()
 }
 
 func (m *member) Send(id RequestID, to ServerID) {
 	m.traceAction("send", id, to)
-	c, e := m.clientRequests[id], m.endpoints[to]
-	if c.finalAnswers > 0 || m.now >= c.arrivedAt+c.class.Deadline {
+	request, endpoint := m.clientRequests[id], m.endpoints[to]
+	if request.finalAnswers > 0 || m.now >= request.arrivedAt+request.class.Deadline {
 		m.t.Fatalf("rule 1: balancer %d sends request %d after its final answer or deadline", m.balancer.settings.Index, id)
 	}
 	if m.listedStates[to] != Ready {
 		m.t.Fatalf("rule 3: balancer %d sends to endpoint %d, which is listed in state %d", m.balancer.settings.Index, to, m.listedStates[to])
 	}
-	n := c.attempts
-	c.attempts++
-	c.openAttempts[n] = true
+	attempt := request.attempts
+	request.attempts++
+	request.openAttempts[attempt] = true
 	m.sends++
-	endAttempt := func(v Verdict, latency time.Duration, load []float32) {
-		if !c.openAttempts[n] {
+	endAttempt := func(verdict Verdict, latency time.Duration, load []float32) {
+		if !request.openAttempts[attempt] {
 			return
 		}
-		delete(c.openAttempts, n)
-		final := v == OK && c.finalAnswers == 0
+		delete(request.openAttempts, attempt)
+		final := verdict == OK && request.finalAnswers == 0
 		if final {
 			m.recordFinalAnswer(id)
-			if m.now-c.arrivedAt <= c.class.LatencyObjective {
-				m.inTime[c.class.PriorityWeight]++
+			if m.now-request.arrivedAt <= request.class.LatencyObjective {
+				m.inTime[request.class.PriorityWeight]++
 			}
 		}
-		m.balancer.Outcome(m.now, Outcome{ID: id, Attempt: n, Server: to, Verdict: v, Latency: latency, Final: final || c.finalAnswers > 0, Load: load})
+		m.balancer.Outcome(m.now, Outcome{ID: id, Attempt: attempt, Server: to, Verdict: verdict, Latency: latency, Final: final || request.finalAnswers > 0, Load: load})
 	}
 	sent := m.now
-	if e == nil {
+	if endpoint == nil {
 		m.schedule(250*ms, func() { endAttempt(ConnectFailed, m.now-sent, nil) })
 		return
 	}
-	m.schedule(c.arrivedAt+c.class.Deadline-m.now, func() { endAttempt(Timeout, m.now-sent, nil) })
-	if e.hanging {
+	m.schedule(request.arrivedAt+request.class.Deadline-m.now, func() { endAttempt(Timeout, m.now-sent, nil) })
+	if endpoint.hanging {
 		return
 	}
 	work := m.rng.ExpFloat64() * m.meanWork
-	e.recordSlowStartArrival(m, work)
-	if m.maxQueued > 0 && e.queued >= m.maxQueued {
+	endpoint.recordSlowStartArrival(m, work)
+	if m.maxQueued > 0 && endpoint.queued >= m.maxQueued {
 		m.schedule(ms, func() { endAttempt(ServerFull, m.now-sent, nil) })
 		return
 	}
-	e.busyUntil = max(e.busyUntil, m.now) + time.Duration(work/e.capacity(m.now)*float64(sec))
-	e.queued++
-	m.schedule(e.busyUntil-m.now, func() {
-		e.queued--
-		e.completions = append(e.completions, m.now)
-		if e.capacity(m.now) < 1 {
+	endpoint.busyUntil = max(endpoint.busyUntil, m.now) + time.Duration(work/endpoint.capacity(m.now)*float64(sec))
+	endpoint.queued++
+	m.schedule(endpoint.busyUntil-m.now, func() {
+		endpoint.queued--
+		endpoint.completions = append(endpoint.completions, m.now)
+		if endpoint.capacity(m.now) < 1 {
 			m.slowStartWork += work
 		}
-		endAttempt(OK, m.now-sent, e.loadReport(m.now))
+		endAttempt(OK, m.now-sent, endpoint.loadReport(m.now))
 	})
 }
 
@@ -326,8 +326,8 @@
 }
 
 func (m *member) recordFinalAnswer(id RequestID) {
-	c := m.clientRequests[id]
-	if c.finalAnswers++; c.finalAnswers > 1 {
+	request := m.clientRequests[id]
+	if request.finalAnswers++; request.finalAnswers > 1 {
 		m.t.Fatalf("rule 1: balancer %d gives request %d a second final answer", m.balancer.settings.Index, id)
 	}
 }
@@ -338,11 +338,11 @@
 	m.rejected[m.clientRequests[id].class.PriorityWeight]++
 }
 func (m *member) Fail(id RequestID) { m.traceAction("fail", id, 0); m.recordFinalAnswer(id) }
-func (m *member) Cancel(id RequestID, n int) {
+func (m *member) Cancel(id RequestID, attempt int) {
 	m.schedule(0, func() {
-		if c := m.clientRequests[id]; c.openAttempts[n] {
-			delete(c.openAttempts, n)
-			m.balancer.Outcome(m.now, Outcome{ID: id, Attempt: n, Verdict: Cancelled, Final: c.finalAnswers > 0})
+		if request := m.clientRequests[id]; request.openAttempts[attempt] {
+			delete(request.openAttempts, attempt)
+			m.balancer.Outcome(m.now, Outcome{ID: id, Attempt: attempt, Verdict: Cancelled, Final: request.finalAnswers > 0})
 		}
 	})
 }
@@ -373,9 +373,9 @@
 // checkFinalState checks that each request has one final answer (rule 1), and that the balancers keep no finished requests.
 func (f *fleet) checkFinalState() {
 	for _, m := range append(f.replacedMembers, f.members...) {
-		for id, c := range m.clientRequests {
-			if c.finalAnswers != 1 {
-				f.t.Fatalf("rule 1: balancer %d: request %d has %d final answers, want 1", m.balancer.settings.Index, id, c.finalAnswers)
+		for id, request := range m.clientRequests {
+			if request.finalAnswers != 1 {
+				f.t.Fatalf("rule 1: balancer %d: request %d has %d final answers, want 1", m.balancer.settings.Index, id, request.finalAnswers)
 			}
 		}
 		if n := len(m.balancer.requests); n > 0 || m.balancer.inFlight != 0 {
@@ -391,11 +391,11 @@
 	for _, s := range m.balancer.listed {
 		list = append(list, s.Server)
 	}
-	for _, c := range m.clientRequests {
-		if c.finalAnswers == 0 {
-			c.finalAnswers = 1
+	for _, request := range m.clientRequests {
+		if request.finalAnswers == 0 {
+			request.finalAnswers = 1
 		}
-		clear(c.openAttempts)
+		clear(request.openAttempts)
 	}
 	var err error
 	if m.balancer, err = New(m.balancer.settings, uint64(m.balancer.settings.Index)+1000, m); err != nil {
@@ -412,7 +412,7 @@
 	for i := range endpoints * 6 / 10 {
 		f.replaceEndpoint(6*sec+time.Duration(i)*7*sec/36, ServerID(i+1), ServerID(1000+i))
 	}
-	for at := 12 * sec; at < 20*sec; at += 100 * ms { // the work that the new endpoints could do meanwhile
+	for at := 12 * sec; at < 20*sec; at += 100 * ms { // adds up the work that the new endpoints could do
 		f.schedule(at-f.now, func() {
 			if at == 12*sec {
 				f.slowStartWork = 0
--- a/lbpolicy/hedge_test.go
+++ b/lbpolicy/hedge_test.go
@@ -42,7 +42,7 @@
 func TestSnapshotKeepsHedgeDelay(t *testing.T) {
 	for _, answers := range []int{1, 4, 40} {
 		for _, idle := range []time.Duration{0, sec, 8 * sec} {
-			t.Run(fmt.Sprintf("%d answers, %v before", answers, idle), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d answers, %v idle", answers, idle), func(t *testing.T) {
 				before, host := newBalancer(t, testSettings(), readyServers(2)...)
 				now := 2 * sec
 				for id := range RequestID(answers) {
@@ -64,7 +64,7 @@
 				want := hedgeDelay(before, host, now, idle)
 				for name, delay := range delays {
 					if delay.Seconds() < onePeriodMore*want.Seconds() {
-						t.Errorf("%s: hedged after %v, want %v", name, delay, want)
+						t.Errorf("%s: hedged after %v, want at least %v less one period of adjustment", name, delay, want)
 					}
 				}
 			})
--- a/lbpolicy/manualejection_test.go
+++ b/lbpolicy/manualejection_test.go
@@ -16,14 +16,14 @@
 		inUse := map[ServerID]bool{}
 		for range 6 { // bursts of requests that are all in flight at once
 			now += 200 * time.Millisecond
-			sends, first := len(h.sends), id+1
+			sentBefore, firstID := len(h.sends), id+1
 			for range 10 {
 				id++
 				b.Request(now, Request{ID: id, TimeLeft: 2 * sec})
 			}
-			for i, s := range h.sends[sends:] {
+			for i, s := range h.sends[sentBefore:] {
 				inUse[s] = true
-				b.Outcome(now+time.Millisecond, Outcome{ID: first + RequestID(i), Server: s, Verdict: OK, Latency: time.Millisecond, Final: true})
+				b.Outcome(now+time.Millisecond, Outcome{ID: firstID + RequestID(i), Server: s, Verdict: OK, Latency: time.Millisecond, Final: true})
 			}
 		}
 		return inUse
@@ -33,7 +33,7 @@
 	}
 	b.SetManuallyEjected(now, 2, true)
 	b.SetManuallyEjected(now, 2, true)
-	lists := map[string]func(){
+	updates := map[string]func(){
 		"nothing":     func() {},
 		"a full list": func() { b.UpdateEndpoints(now, Full, readyServers(3)) },
 		"removal and new listing": func() {
@@ -43,7 +43,7 @@
 		"a restart": func() { b.UpdateEndpoints(now, Delta, []Server{{ID: 2, State: Ready, StartedAt: now}}) },
 		"settings":  func() { b.Configure(now, testSettings()) },
 	}
-	for name, update := range lists {
+	for name, update := range updates {
 		update()
 		if inUse := serversInUse(); inUse[2] || len(inUse) != 2 {
 			t.Errorf("after %s: servers in use are %v, want 1 and 3", name, inUse)
--- a/lbpolicy/pause_test.go
+++ b/lbpolicy/pause_test.go
@@ -241,10 +241,10 @@
 				}
 				p.run(p.now + sec)
 				if len(p.ejected) > 0 || p.hedges > 0 {
-					t.Errorf("ejected %v, %d hedged requests", p.ejected, p.hedges)
+					t.Errorf("ejected %v, %d hedged requests, want none", p.ejected, p.hedges)
 				}
 				if p.nextID < 100 {
-					t.Errorf("tests little: %d requests", p.nextID)
+					t.Errorf("test has too little effect: %d requests, want at least 100", p.nextID)
 				}
 			})
 		}
@@ -266,10 +266,10 @@
 				}
 				p.run(p.now + sec)
 				if len(p.ejected) > 0 || p.hedges > 0 {
-					t.Errorf("ejected %v, %d hedged requests", p.ejected, p.hedges)
+					t.Errorf("ejected %v, %d hedged requests, want none", p.ejected, p.hedges)
 				}
 				if p.nextID < 100 {
-					t.Errorf("tests little: %d requests", p.nextID)
+					t.Errorf("test has too little effect: %d requests, want at least 100", p.nextID)
 				}
 			})
 		}
@@ -277,7 +277,7 @@
 }
 
 // A server that hangs is ejected once its requests have waited unresponsiveMultiple times the usual latency, at the next check of the
-// period. Late timers and a pause of the process delay that by no more than their own length.
+// period. Late timers delay that by at most twice their delay, and a pause of the process by at most its length.
 func TestHangingServerIsFound(t *testing.T) {
 	const phases = 40
 	for _, test := range []struct {
--- a/lbpolicy/rules_test.go
+++ b/lbpolicy/rules_test.go
@@ -8,8 +8,10 @@
 	"time"
 )
 
-// randomWorkload drives a Balancer through a long random sequence of legal events, and checks the four rules of the policy at every action:
-//  1. A request gets one final answer. No attempt follows it, the deadline, or the last attempt allowed.
+// randomWorkload drives a Balancer through a long random sequence of legal events, and checks the four rules of the policy at
+// every action:
+//
+//  1. A request gets one final answer. No attempt follows that answer or the deadline, and the number of attempts is bounded.
 //  2. A request is not repeated, and its client not told to retry, where it could take effect twice.
 //  3. Servers that are draining, removed or manually ejected get no new request.
 //  4. Servers in slow start are not overloaded.
@@ -23,7 +25,7 @@
 	openRequests    []RequestID // with attempts in flight, in order of arrival
 	timers          []timer
 	listed          map[ServerID]Server
-	slowStartSends  map[ServerID][]time.Duration // to servers in slow start
+	slowStartSends  map[ServerID][]time.Duration // when attempts were sent to each server in slow start
 	checks          int
 	injectDelays    bool // timers fire late and some servers hang
 	manuallyEjected map[ServerID]bool
@@ -68,10 +70,10 @@
 		w.check(a.ended || w.cfg.MayHedge, "rule 2: request hedged where that is not allowed", id)
 		w.check(a.neverRan || w.mayRepeat(r, a, s), "rule 2: repeat of an attempt that may have run", id)
 	}
-	if p := r.keyState; p.Known {
-		group := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && p.Zone == s.Zone ||
-			r.class.Scope == ScopeCell && p.Cell == s.Cell
-		w.check(!p.Unavailable && group && w.now < p.RetryUntil, "rule 2: repeat outside its group of servers or its window", id)
+	if state := r.keyState; state.Known {
+		inGroup := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && state.Zone == s.Zone ||
+			r.class.Scope == ScopeCell && state.Cell == s.Cell
+		w.check(!state.Unavailable && inGroup && w.now < state.RetryUntil, "rule 2: repeat outside its group of servers or its window", id)
 	}
 	r.attempts = append(r.attempts, trackedAttempt{server: s, sentAt: w.now})
 	w.checkSlowStart(id, s)
@@ -105,8 +107,8 @@
 	w.check(r.finalAnswers == 0 && !r.disconnected, "rule 1: second final answer", id)
 	r.finalAnswers++
 	harmless := r.class.Effect == Idempotent || r.class.Effect == KeyedIdempotent && r.class.Scope == ScopeAll
-	keyState := r.keyState
-	w.check(!rejected || !keyState.Known || harmless && w.now < keyState.RetryUntil, "rule 2: rejected though an earlier request with the key may have run", id)
+	state := r.keyState
+	w.check(!rejected || !state.Known || harmless && w.now < state.RetryUntil, "rule 2: rejected though an earlier request with the key may have run", id)
 	for _, a := range r.attempts {
 		w.check(!rejected || harmless || a.neverRan, "rule 2: rejected though a retry may take effect twice", id)
 	}
@@ -179,17 +181,17 @@
 
 func (w *randomWorkload) sendRequest(id RequestID) {
 	class := w.rng.IntN(len(w.cfg.Classes))
-	left := w.cfg.Classes[class].Deadline * time.Duration(1+w.rng.IntN(10)) / 10
-	r := &trackedRequest{class: w.cfg.Classes[class], deadline: w.now + left, maxAttempts: w.cfg.MaxAttempts}
+	timeLeft := w.cfg.Classes[class].Deadline * time.Duration(1+w.rng.IntN(10)) / 10
+	r := &trackedRequest{class: w.cfg.Classes[class], deadline: w.now + timeLeft, maxAttempts: w.cfg.MaxAttempts}
 	if r.class.Effect == KeyedIdempotent && w.rng.IntN(3) == 0 {
 		r.keyState = w.drawKeyState()
 	}
 	w.requests[id] = r
 	w.openRequests = append(w.openRequests, id)
-	w.balancer.Request(w.now, Request{ID: id, Class: class, Tenant: w.rng.IntN(3) - 1, TimeLeft: left, Retry: w.rng.IntN(5) == 0, KeyState: r.keyState})
+	w.balancer.Request(w.now, Request{ID: id, Class: class, Tenant: w.rng.IntN(3) - 1, TimeLeft: timeLeft, Retry: w.rng.IntN(5) == 0, KeyState: r.keyState})
 }
 
-// drawKeyState draws a state of a request's key.
+// drawKeyState draws at random what other requests with the same key have done.
 func (w *randomWorkload) drawKeyState() KeyState {
 	return KeyState{Known: true, Unavailable: w.rng.IntN(10) == 0, Zone: w.rng.IntN(3), Cell: w.rng.IntN(4),
 		RetryUntil: w.now + time.Duration(w.rng.Float64()*float64(3*time.Second))}
@@ -207,7 +209,7 @@
 	}
 }
 
-// endAttempt ends an attempt with a verdict.
+// endAttempt reports the end of an attempt to the balancer. The first OK is the final answer of the request.
 func (w *randomWorkload) endAttempt(id RequestID, n int, v Verdict) {
 	r := w.requests[id]
 	a := &r.attempts[n]
@@ -257,12 +259,12 @@
 func (w *randomWorkload) fireTimers() {
 	due := w.timers
 	w.timers = nil
-	for _, timer := range due {
-		if timer.at > w.now || w.rng.IntN(200) > 0 && w.injectDelays {
-			w.timers = append(w.timers, timer)
+	for _, dueTimer := range due {
+		if dueTimer.at > w.now || w.rng.IntN(200) > 0 && w.injectDelays {
+			w.timers = append(w.timers, dueTimer)
 			continue
 		}
-		w.balancer.Timer(w.now, timer.token)
+		w.balancer.Timer(w.now, dueTimer.token)
 	}
 }
 
@@ -342,7 +344,7 @@
 			w.fireTimers()
 		}
 		if w.checks < 6000 {
-			t.Fatalf("seed %d: only %d checks", seed, w.checks)
+			t.Fatalf("seed %d: %d checks, want at least 6000", seed, w.checks)
 		}
 	}
 }
--- a/lbpolicy/weights_test.go
+++ b/lbpolicy/weights_test.go
@@ -11,9 +11,9 @@
 func measureShares(t *testing.T, b *Balancer, h *recorder, requests int, interval time.Duration, latencies map[ServerID]time.Duration) map[ServerID]float64 {
 	t.Helper()
 	type inFlightRequest struct {
-		id RequestID
-		s  ServerID
-		at time.Duration
+		id        RequestID
+		server    ServerID
+		answersAt time.Duration
 	}
 	var inFlight []inFlightRequest
 	shares := map[ServerID]float64{}
@@ -21,10 +21,10 @@
 	for i := range requests {
 		now += interval
 		inFlight = slices.DeleteFunc(inFlight, func(o inFlightRequest) bool {
-			if o.at <= now {
-				b.Outcome(now, Outcome{ID: o.id, Server: o.s, Verdict: OK, Latency: latencies[o.s], Final: true})
+			if o.answersAt <= now {
+				b.Outcome(now, Outcome{ID: o.id, Server: o.server, Verdict: OK, Latency: latencies[o.server], Final: true})
 			}
-			return o.at <= now
+			return o.answersAt <= now
 		})
 		id := RequestID(i + 1)
 		h.sends = nil
@@ -86,7 +86,7 @@
 	now, arrived, rejected := time.Second, [2]float64{}, [2]float64{}
 	run := func(fraction float64) (low, high float64) {
 		b.SetDropFraction(now, fraction)
-		for range 2 { // the first time for the rates to be measured
+		for range 2 { // the first run lets the balancer measure the rates
 			rejected, arrived = [2]float64{}, [2]float64{}
 			for i := range 8000 {
 				now += 2 * time.Millisecond
