--- a/lbpolicy/fleet_slowstart_test.go
+++ b/lbpolicy/fleet_slowstart_test.go
@@ -128,6 +128,8 @@
 }
 
 // slowStartScenarios are the scenarios in which a fleet could overload an endpoint in slow start.
+// Lists of known failures refer to their names. In these, "join" is a replacement of endpoints, "throng" a burst while endpoints
+// restart, "cold" means in slow start, "held" is the queue limit, and "told" the number of balancers in the settings.
 var slowStartScenarios = []struct {
 	name      string
 	configure func(*scenario)
--- a/lbpolicy/fleet_test.go
+++ b/lbpolicy/fleet_test.go
@@ -136,9 +136,9 @@
 }
 
 // newFleet returns a fleet whose balancers start within a second, each with an even share of the load.
-func newFleet(t *testing.T, balancers, endpoints int, load float64, arrivalsEnd time.Duration) *fleet {
+func newFleet(t *testing.T, balancers, endpoints int, load float64, duration time.Duration) *fleet {
 	t.Helper()
-	return newScenarioFleet(t, scenario{balancerCount: balancers, endpointCount: endpoints, seed: uint64(balancers), load: load, arrivalsEnd: arrivalsEnd,
+	return newScenarioFleet(t, scenario{balancerCount: balancers, endpointCount: endpoints, seed: uint64(balancers), load: load, arrivalsEnd: duration,
 		meanWork: 0.1, startCapacity: 0.25, slowStart: 14 * sec})
 }
 
