--- a/lbpolicy/pause_test.go
+++ b/lbpolicy/pause_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// pausePool plays a balancer in front of servers that answer after answerTime, and one of which may hang, with
-// clients that have one request out at a time. The process of the balancer can stand still: its timers and the
-// answers of its servers, which go on, come to it after the pause, the timers first.
+// pausePool simulates a balancer in front of servers that answer after answerTime, of which one may hang. Each client has one request
+// in flight at a time. The balancer's process can be paused while its servers go on. Its timers and the answers that are due in the
+// pause come after it, the timers first.
 type pausePool struct {
-	t          *testing.T
-	balancer   *Balancer
-	now        time.Duration
-	events     eventQueue
-	lastNumber int
-	timerDelay time.Duration // of each timer
-	hanging    ServerID      // 0: none
-	hangsSince time.Duration // its first request that it does not answer; 0: there is none
-	pausedFrom time.Duration
-	pausedTo   time.Duration
-	think      time.Duration // between a client's requests
-	nextID     RequestID
-	attempts   map[RequestID]int
-	inFlight   map[attemptKey]*playedAttempt
-	stallFrom  time.Duration // nothing is read from then on, though the process runs
-	stallTo    time.Duration
-	lastServer ServerID // that got an attempt
-	hedges     int
-	ejected    map[ServerID]time.Duration // when first
-	stopped    bool
+	t            *testing.T
+	balancer     *Balancer
+	now          time.Duration
+	events       eventQueue
+	lastSequence int
+	timerDelay   time.Duration // of each timer
+	hanging      ServerID      // 0: none
+	hangingSince time.Duration // when the first request that it does not answer was sent; 0: none yet
+	pausedFrom   time.Duration
+	pausedTo     time.Duration
+	thinkTime    time.Duration // between a client's requests
+	nextID       RequestID
+	attempts     map[RequestID]int
+	inFlight     map[attemptKey]*simulatedAttempt
+	stallFrom    time.Duration // answers are not read from then on, though the process runs
+	stallTo      time.Duration
+	lastServer   ServerID // that got the latest attempt
+	hedges       int
+	ejected      map[ServerID]time.Duration // when each was first ejected
+	stopped      bool
 }
 
 const (
@@ -42,63 +42,63 @@
 
 type attemptKey struct {
 	request RequestID
-	number  int
+	attempt int
 }
 
-// playedAttempt is an attempt in flight.
-type playedAttempt struct {
+// simulatedAttempt is an attempt in flight.
+type simulatedAttempt struct {
 	server     ServerID
 	writtenAt  time.Duration // 0: not yet
-	answeredAt time.Duration // when the answer arrives, read or not; 0: it does not
+	answeredAt time.Duration // when the answer arrives, read or not; 0: no answer
 }
 
-type playedEvent struct {
-	at     time.Duration
-	number int // events at one time keep their order
-	handle func()
+type simulatedEvent struct {
+	at       time.Duration
+	sequence int // events at one time keep their order
+	handle   func()
 }
 
-type eventQueue []playedEvent
+type eventQueue []simulatedEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(playedEvent)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulatedEvent)) }
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func newPausePool(t *testing.T, clients int, think time.Duration) *pausePool {
+func newPausePool(t *testing.T, clients int, thinkTime time.Duration) *pausePool {
 	t.Helper()
-	p := &pausePool{t: t, now: sec, think: think, attempts: map[RequestID]int{}, inFlight: map[attemptKey]*playedAttempt{}, ejected: map[ServerID]time.Duration{}}
+	p := &pausePool{t: t, now: sec, thinkTime: thinkTime, attempts: map[RequestID]int{}, inFlight: map[attemptKey]*simulatedAttempt{}, ejected: map[ServerID]time.Duration{}}
 	var err error
 	p.balancer, err = New(testSettings(), 7, p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.balancer.UpdateEndpoints(sec, Full, ready(4))
+	p.balancer.UpdateEndpoints(sec, Full, readyServers(4))
 	for i := range clients {
-		p.after(time.Duration(i)*ms, p.ask)
+		p.schedule(time.Duration(i)*ms, p.sendRequest)
 	}
 	return p
 }
 
-// after schedules an event of the balancer's process, which does not happen while that stands still.
-func (p *pausePool) after(d time.Duration, handle func()) { p.at(p.now+d, 0, handle) }
+// schedule schedules an event of the balancer's process. One that is due in a pause happens at its end.
+func (p *pausePool) schedule(d time.Duration, handle func()) { p.scheduleAt(p.now+d, 0, handle) }
 
-func (p *pausePool) at(at, behindPause time.Duration, handle func()) {
+func (p *pausePool) scheduleAt(at, delayAfterPause time.Duration, handle func()) {
 	if at >= p.pausedFrom && at < p.pausedTo {
-		at = p.pausedTo + behindPause
+		at = p.pausedTo + delayAfterPause
 	}
-	p.lastNumber++
-	heap.Push(&p.events, playedEvent{max(at, p.now), p.lastNumber, handle})
+	p.lastSequence++
+	heap.Push(&p.events, simulatedEvent{max(at, p.now), p.lastSequence, handle})
 }
 
-// pause has the process stand still from now on.
+// pause stops the process from now on.
 func (p *pausePool) pause(d time.Duration) {
 	p.pausedFrom, p.pausedTo = p.now, p.now+d
 	queued := p.events
@@ -108,21 +108,21 @@
 		if at < p.pausedTo {
 			at = p.pausedTo
 		}
-		heap.Push(&p.events, playedEvent{at, e.number, e.handle})
+		heap.Push(&p.events, simulatedEvent{at, e.sequence, e.handle})
 	}
 }
 
-// run plays until a time.
+// run simulates until a time.
 func (p *pausePool) run(until time.Duration) {
 	for len(p.events) > 0 && p.events[0].at <= until {
-		e := heap.Pop(&p.events).(playedEvent)
+		e := heap.Pop(&p.events).(simulatedEvent)
 		p.now = e.at
 		e.handle()
 	}
 	p.now = until
 }
 
-func (p *pausePool) ask() {
+func (p *pausePool) sendRequest() {
 	if p.stopped {
 		return
 	}
@@ -130,7 +130,7 @@
 	p.balancer.Request(p.now, Request{ID: p.nextID, Class: 0, TimeLeft: 3 * sec})
 }
 
-// Send implements Host. An answer that arrives in a pause is read after it, behind the timers that were due.
+// Send implements Host. An answer that arrives in a pause is read after it, later than the timers that were due.
 func (p *pausePool) Send(id RequestID, s ServerID) {
 	attempt := p.attempts[id]
 	p.attempts[id]++
@@ -139,35 +139,35 @@
 	}
 	p.lastServer = s
 	key := attemptKey{id, attempt}
-	a := &playedAttempt{server: s}
+	a := &simulatedAttempt{server: s}
 	p.inFlight[key] = a
 	if s == p.hanging {
-		if p.hangsSince == 0 {
-			p.hangsSince = p.now
+		if p.hangingSince == 0 {
+			p.hangingSince = p.now
 		}
-		p.after(writeTime, func() { a.writtenAt = p.now })
+		p.schedule(writeTime, func() { a.writtenAt = p.now })
 		return
 	}
 	sentAt := p.now
-	p.after(writeTime, func() {
+	p.schedule(writeTime, func() {
 		a.writtenAt = p.now
 		a.answeredAt = p.now + answerTime
-		p.arrive(a.answeredAt, func() {
+		p.scheduleArrival(a.answeredAt, func() {
 			p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: attempt, Server: s, Verdict: OK, Latency: p.now - sentAt, Final: true})
 			delete(p.inFlight, key)
-			p.after(p.think, p.ask)
+			p.schedule(p.thinkTime, p.sendRequest)
 		})
 	})
 }
 
-// arrive schedules what comes from outside: in a pause it waits in a socket.
-func (p *pausePool) arrive(at time.Duration, handle func()) {
+// scheduleArrival schedules an answer from the network. In a pause it waits in its socket.
+func (p *pausePool) scheduleArrival(at time.Duration, handle func()) {
 	if at >= p.stallFrom && at < p.stallTo {
 		at = p.stallTo
 	}
-	p.at(at, readTime, func() {
-		if p.now == p.pausedTo { // it was on its way as the pause began
-			p.at(p.now+readTime, 0, handle)
+	p.scheduleAt(at, readTime, func() {
+		if p.now == p.pausedTo { // the answer was in flight when the pause began
+			p.scheduleAt(p.now+readTime, 0, handle)
 			return
 		}
 		handle()
@@ -175,7 +175,7 @@
 }
 
 func (p *pausePool) SetTimer(at time.Duration, token uint64) {
-	p.at(at+p.timerDelay, 0, func() { p.balancer.Timer(p.now, token) })
+	p.scheduleAt(at+p.timerDelay, 0, func() { p.balancer.Timer(p.now, token) })
 }
 
 func (p *pausePool) Reject(id RequestID, _ time.Duration) { p.t.Errorf("request %d is rejected", id) }
@@ -184,7 +184,7 @@
 func (p *pausePool) Watch()                               {}
 
 func (p *pausePool) Cancel(id RequestID, attempt int) {
-	p.after(0, func() {
+	p.schedule(0, func() {
 		delete(p.inFlight, attemptKey{id, attempt})
 		p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: attempt, Verdict: Cancelled, Latency: answerTime})
 	})
@@ -196,7 +196,7 @@
 			continue
 		}
 		progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.answeredAt > 0 && a.answeredAt <= p.now
-		if sentAt := p.WaitsSince(key.request, key.number); progress.WaitsSince == 0 || sentAt < progress.WaitsSince {
+		if sentAt := p.WaitsSince(key.request, key.attempt); progress.WaitsSince == 0 || sentAt < progress.WaitsSince {
 			progress.WaitsSince = sentAt
 		}
 	}
@@ -224,10 +224,10 @@
 	}
 }
 
-// A balancer's process that stood still must not take that for a silence of its servers: their answers have arrived
-// and are not read yet when the timers that were due in the pause, or the first answer, have the servers checked. Up to
-// now each server with a request in flight was ejected then ("out: silent"), and hedged requests went out for all of
-// them. The trace of such a play shows the order: the timer, the ejections, and the answers within a millisecond.
+// A pause of the balancer's process does not count as silence of its servers. After a pause, a timer that was due or the first answer
+// has the servers checked, before the answers that arrived in the pause are read. The fault that this guards against: each server
+// with a request in flight was ejected ("out: silent") and each of these requests was hedged. A trace of it has the timer, the
+// ejections and then the answers, all within a millisecond.
 func TestPauseIsNoSilence(t *testing.T) {
 	for _, clients := range []int{1, 8} {
 		for _, pause := range []time.Duration{30 * ms, 150 * ms, 300 * ms, 2 * sec} {
@@ -241,19 +241,19 @@
 				}
 				p.run(p.now + sec)
 				if len(p.ejected) > 0 || p.hedges > 0 {
-					t.Errorf("ejected %v, %d hedged requests", p.ejected, p.hedges)
+					t.Errorf("ejected %v, %d hedged requests, want none", p.ejected, p.hedges)
 				}
 				if p.nextID < 100 {
-					t.Errorf("tests little: %d requests", p.nextID)
+					t.Errorf("test has too little effect: %d requests, want at least 100", p.nextID)
 				}
 			})
 		}
 	}
 }
 
-// Answers that have arrived and are read late, by a process whose timers run, are no silence of their servers
+// Answers that have arrived but are read late, by a process whose timers run, do not count as silence of their servers
 // (docs/incidents/answers-read-late.md).
-func TestLateReaderIsNoSilence(t *testing.T) {
+func TestAnswersReadLateEjectNoServer(t *testing.T) {
 	for _, clients := range []int{1, 8} {
 		for _, stall := range []time.Duration{30 * ms, 90 * ms, 150 * ms, 2 * sec} {
 			t.Run(fmt.Sprintf("%d clients, %v", clients, stall), func(t *testing.T) {
@@ -266,53 +266,52 @@
 				}
 				p.run(p.now + sec)
 				if len(p.ejected) > 0 || p.hedges > 0 {
-					t.Errorf("ejected %v, %d hedged requests", p.ejected, p.hedges)
+					t.Errorf("ejected %v, %d hedged requests, want none", p.ejected, p.hedges)
 				}
 				if p.nextID < 100 {
-					t.Errorf("tests little: %d requests", p.nextID)
+					t.Errorf("test has too little effect: %d requests, want at least 100", p.nextID)
 				}
 			})
 		}
 	}
 }
 
-// A server that hangs is found as soon as before: its requests have waited unresponsiveMultiple times the usual
-// latency, and servers are checked once a period. That holds where timers are late, and where the process stands
-// still meanwhile, apart from the time that it stands still.
+// A server that hangs is ejected once its requests have waited unresponsiveMultiple times the usual latency, at the next check of the
+// period. Late timers delay that by at most twice their delay, and a pause of the process by at most its length.
 func TestHangingServerIsFound(t *testing.T) {
 	const phases = 40
-	for _, play := range []struct {
+	for _, test := range []struct {
 		clients           int
 		timerDelay, pause time.Duration
 	}{{8, 0, 0}, {8, 5 * ms, 0}, {8, 20 * ms, 0}, {8, 50 * ms, 0}, {8, 0, 150 * ms}, {8, 20 * ms, 300 * ms},
 		{2, 0, 0}, {2, 5 * ms, 0}, {2, 50 * ms, 0}, {2, 0, 300 * ms}} {
-		t.Run(fmt.Sprintf("%d clients, timers late by %v, pause %v", play.clients, play.timerDelay, play.pause), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d clients, timers late by %v, pause %v", test.clients, test.timerDelay, test.pause), func(t *testing.T) {
 			sum, longest := time.Duration(0), time.Duration(0)
 			for phase := range phases {
-				p := newPausePool(t, play.clients, 0)
-				p.timerDelay = play.timerDelay
+				p := newPausePool(t, test.clients, 0)
+				p.timerDelay = test.timerDelay
 				p.run(3*sec + time.Duration(phase)*7*ms)
 				p.hanging = p.lastServer
 				usual := p.balancer.usualLatency()
-				if play.pause > 0 {
+				if test.pause > 0 {
 					p.run(p.now + 20*ms)
-					p.pause(play.pause)
+					p.pause(test.pause)
 				}
 				for p.ejected[p.hanging] == 0 && p.now < 20*sec {
 					p.run(p.now + ms)
 				}
-				found := p.ejected[p.hanging] - p.hangsSince
-				sum += found
-				longest = max(longest, found)
+				ejectedAfter := p.ejected[p.hanging] - p.hangingSince
+				sum += ejectedAfter
+				longest = max(longest, ejectedAfter)
 				wait := time.Duration(unresponsiveMultiple * usual * float64(sec))
-				if allowed := wait + p.balancer.period + play.pause + 2*play.timerDelay + answerTime; found > allowed {
-					t.Errorf("phase %d: found after %v, allowed are %v", phase, found, allowed)
+				if allowed := wait + p.balancer.period + test.pause + 2*test.timerDelay + answerTime; ejectedAfter > allowed {
+					t.Errorf("phase %d: hanging server ejected after %v, want at most %v", phase, ejectedAfter, allowed)
 				}
 				if len(p.ejected) != 1 {
-					t.Errorf("phase %d: ejected %v", phase, p.ejected)
+					t.Errorf("phase %d: ejected %v, want the hanging server alone", phase, p.ejected)
 				}
 			}
-			t.Logf("found after %v on average, %v at most", sum/phases, longest)
+			t.Logf("hanging server ejected after %v on average, %v at most", sum/phases, longest)
 		})
 	}
 }
