--- a/internal/ledger/commit/commit.go
+++ b/internal/ledger/commit/commit.go
@@ -1,13 +1,11 @@
 // Package commit decides when a ledger's records are written and made durable, when a new segment begins, which segments are
-// removed, and when the disk cannot be relied on. It does no I/O, reads no clock and does not block: its host passes it the
-// time and the results of what it requested, and asks for the next step. A Log belongs to one host, which serialises all
-// calls.
+// removed, and when the disk counts as failed or slow. It does no I/O, reads no clock and does not block: its caller passes it the
+// time and the results of I/O, and asks for the next step. All calls of a Log must be serialised by its one caller.
 //
-// A record gets its sequence number when it is added. It is written once the operating system has it, which the end of the
-// process does not undo, and durable once it is on the disk, which a crash of the machine does not undo. After an error
-// nothing of the segment that is not known to be durable is trusted: it is written again, under its sequence numbers, to a
-// new segment. The same holds for an fsync that failed: a second one that succeeds says nothing about what the first one
-// lost.
+// A record gets its sequence number when it is added. It is written once the operating system has it: it then survives the end of
+// the process. It is durable once it is on the disk: it then survives a crash of the machine. After an error, records of the
+// segment that are not known to be durable are not trusted. They are written again, under the same sequence numbers, to a new
+// segment. The same holds after a failed fsync: a second fsync may succeed although the first one lost data.
 package commit
 
 import (
@@ -16,14 +14,14 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// Mode is how safe a record must be before its event may happen.
+// Mode determines how safe a record must be before the event that it describes may happen.
 type Mode uint8
 
 // The modes.
 const (
-	GroupCommit Mode = iota // durable before an attempt, by an fsync that others share
-	EachRecord              // durable at once, before an attempt and before an answer
-	OSBuffered              // written
+	GroupCommit Mode = iota // durable before an attempt is sent, by an fsync that other records share
+	EachRecord              // durable without a delay, before an attempt is sent and before a response is served
+	OSBuffered              // written before an attempt is sent, and not made durable
 )
 
 func (m Mode) String() string { return [...]string{"group", "each", "os"}[m] }
@@ -31,18 +29,18 @@
 // Config configures a Log.
 type Config struct {
 	Mode            Mode
-	MaxGroupDelay   time.Duration // that an fsync waits for more records in mode GroupCommit
-	SlowDiskTime    time.Duration // of one write or fsync, beyond which the disk counts as slow
+	MaxGroupDelay   time.Duration // maximum delay of an fsync for more records in mode GroupCommit
+	SlowDiskTime    time.Duration // duration of one write or fsync beyond which the disk counts as slow
 	SegmentBytes    int64
-	MaxPendingBytes int // of records that are held in memory because they are not durable yet
+	MaxPendingBytes int // maximum size of the records held in memory because they are not durable yet
 }
 
 const (
-	// The backoff of a new segment after an error.
+	// Bounds of the backoff before a new segment is opened after an error.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 
-	// groupDelayDivider is the last fsync's duration over the delay of the next one.
+	// groupDelayDivider divides the duration of the last fsync to get the delay of the next one.
 	groupDelayDivider = 4
 )
 
@@ -51,46 +49,46 @@
 	config  Config
 	nextSeq uint64
 
-	// Frames that are not durable yet, in order. The first writtenBytes of them are in the present segment.
+	// Frames that are not durable yet, in order. The first writtenBytes bytes are in the current segment.
 	pending      []byte
 	writtenBytes int
-	firstPending uint64 // the sequence number of the first
-	writeBuffer  []byte // what is being written
+	firstPending uint64 // sequence number of the first pending frame
+	writeBuffer  []byte // frames of the write in progress
 
-	writtenTo, durableTo uint64 // sequence numbers up to which records are; 0: none
-	syncTo               uint64 // what the present fsync makes durable
+	writtenTo, durableTo uint64 // sequence numbers up to which records are written or durable; 0: none
+	syncTo               uint64 // sequence number up to which the fsync in progress makes records durable
 	syncBytes            int
 
 	segmentOpen    bool
 	opening        bool
 	segmentFill    int64
-	generation     uint64 // of the present segment: an fsync of an earlier one is ignored
+	generation     uint64 // of the current segment; the result of an fsync of an earlier one is ignored
 	syncGeneration uint64
 	errorCount     uint64
 
 	writing, syncing              bool
 	writeStartedAt, syncStartedAt time.Time
-	nextSyncAt                    time.Time // at the earliest
-	failure                       error     // nil: none since the present segment was opened
+	nextSyncAt                    time.Time // earliest time of the next fsync
+	failure                       error     // last error; nil: none since the current segment was opened
 	retryAt                       time.Time
 	retryDelay                    time.Duration
-	dropped                       uint64 // records for which there was no room
+	dropped                       uint64 // records that were dropped since MaxPendingBytes was reached
 	closing                       bool
 }
 
-// New returns a log whose first record gets a sequence number.
+// New returns a log whose first record gets the sequence number firstSeq.
 func New(config Config, firstSeq uint64) *Log {
 	return &Log{config: config, nextSeq: firstSeq, firstPending: firstSeq}
 }
 
-// Configure changes the configuration. The present segment is kept.
+// Configure changes the configuration. The current segment is kept.
 func (l *Log) Configure(config Config) { l.config = config }
 
 // NextSeq returns the sequence number of the next record.
 func (l *Log) NextSeq() uint64 { return l.nextSeq }
 
-// Add adds a record's frame, which must have the sequence number that NextSeq returned. If there is no room it returns
-// false, and the sequence number is lost, so that the log shows that a record is missing.
+// Add adds a record's frame, which must have the sequence number that NextSeq returned. If the frame does not fit into
+// MaxPendingBytes, Add returns false. The sequence number counts as used, so that the log shows that a record is missing.
 func (l *Log) Add(frame []byte) bool {
 	l.nextSeq++
 	if len(l.pending)+len(frame) > l.config.MaxPendingBytes {
@@ -101,17 +99,17 @@
 	return true
 }
 
-// Step is what the writer has to do.
+// Step is the next action of the writer.
 type Step uint8
 
-// The steps, of which one is done at a time. An fsync may be done beside WriteFrames, see BeginSync.
+// The steps, of which one is done at a time. An fsync may run concurrently with WriteFrames, see BeginSync.
 const (
 	Idle        Step = iota
-	OpenSegment      // make a segment, with a durable header
-	WriteFrames      // at the end of the segment
+	OpenSegment      // create a segment with a durable header
+	WriteFrames      // append frames to the segment
 )
 
-// NextStep returns what the writer has to do. Idle means to wait for an event, or until the returned time if that is not
+// NextStep returns the next action of the writer. Idle means to wait for an event, or until the returned time if that is not
 // zero. The frames belong to the writer until it reports the result.
 func (l *Log) NextStep(now time.Time) (step Step, frames []byte, until time.Time) {
 	switch {
@@ -133,8 +131,8 @@
 	return WriteFrames, l.writeBuffer, time.Time{}
 }
 
-// nextSegment starts a segment once the backoff is over and no fsync of the previous one is in progress, whose file is the
-// writer's to close.
+// nextSegment starts a segment once the backoff is over and no fsync of the previous segment is in progress. The writer then closes
+// the previous segment's file.
 func (l *Log) nextSegment(now time.Time) (step Step, frames []byte, until time.Time) {
 	if now.Before(l.retryAt) {
 		return Idle, nil, l.retryAt
@@ -146,6 +144,7 @@
 	return OpenSegment, nil, time.Time{}
 }
 
+// isSegmentFull reports whether the current segment has reached SegmentBytes.
 func (l *Log) isSegmentFull() bool { return l.segmentFill >= l.config.SegmentBytes }
 
 // SegmentOpened reports the result of opening a segment, and its size.
@@ -162,7 +161,7 @@
 	l.writtenTo = l.durableTo
 }
 
-// FirstPending returns the sequence number of the first record in a segment that is opened now.
+// FirstPending returns the sequence number of the first record of a segment that would be opened now.
 func (l *Log) FirstPending() uint64 { return l.firstPending }
 
 // WriteCompleted reports the result of a write.
@@ -172,19 +171,19 @@
 		l.fail(now, err)
 		return
 	}
-	if !l.segmentOpen { // an fsync has failed meanwhile
+	if !l.segmentOpen { // an fsync failed, or ReportFailure was called, during the write
 		return
 	}
 	n := len(l.writeBuffer)
 	l.segmentFill += int64(n)
 	l.writtenBytes += n
 	l.writtenTo = lastSeq(l.writeBuffer, l.writtenTo)
-	if l.config.Mode == OSBuffered && !l.isSegmentFull() { // the records are as safe as the mode requires
+	if l.config.Mode == OSBuffered && !l.isSegmentFull() { // this mode requires no fsync
 		l.release(l.writtenTo, l.writtenBytes)
 	}
 }
 
-// lastSeq returns the sequence number of the last frame.
+// lastSeq returns the sequence number of the last frame, or otherwise if there are no frames.
 func lastSeq(frames []byte, otherwise uint64) uint64 {
 	for len(frames) > 0 {
 		seq, size := segment.FirstFrame(frames)
@@ -193,7 +192,7 @@
 	return otherwise
 }
 
-// release drops records that need not be written again.
+// release drops records up to a sequence number from the pending ones, as they need not be written again.
 func (l *Log) release(seq uint64, bytes int) {
 	l.durableTo = seq
 	l.pending = append(l.pending[:0], l.pending[bytes:]...)
@@ -204,11 +203,11 @@
 	}
 }
 
-// BeginSync reports whether an fsync has to start now; if not, until is when to ask again, unless it is zero.
+// BeginSync reports whether an fsync has to start now. If not, and until is not zero, until is when to ask again.
 //
-// In mode GroupCommit, the next fsync waits for a quarter of the duration of the last one, up to MaxGroupDelay: records that
-// are added meanwhile share it, beside all those that were added during the last one. That leaves a disk time for others
-// where many requests wait; a fixed delay would cost each client of a fast disk that whole time.
+// In mode GroupCommit, the next fsync is delayed by a quarter of the duration of the last one, up to MaxGroupDelay. Records that are
+// added during the delay share the fsync with those that were added during the last one. The delay leaves the disk time for other
+// work while many requests wait. It is not fixed, since a fixed delay would be added to every request on a fast disk.
 func (l *Log) BeginSync(now time.Time) (due bool, until time.Time) {
 	if !l.segmentOpen || l.syncing || l.writtenBytes == 0 || !l.NeedsSync() {
 		return false, time.Time{}
@@ -235,14 +234,14 @@
 	}
 }
 
-// ReportFailure reports an error that no write or fsync has returned, such as a removed directory.
+// ReportFailure reports an error that was not returned by a write or an fsync, such as a removed directory.
 func (l *Log) ReportFailure(now time.Time, err error) {
 	if l.segmentOpen {
 		l.fail(now, err)
 	}
 }
 
-// fail ends the use of the present segment.
+// fail ends the use of the current segment, and sets the backoff of the next one.
 func (l *Log) fail(now time.Time, err error) {
 	l.segmentOpen, l.failure = false, err
 	l.errorCount++
@@ -252,10 +251,10 @@
 	l.writtenBytes, l.writtenTo = 0, l.durableTo
 }
 
-// NeedsSync reports whether anything that is written is not durable.
+// NeedsSync reports whether there are written records that are not durable.
 func (l *Log) NeedsSync() bool { return l.durableTo < l.writtenTo }
 
-// IsFull reports whether the present segment takes no more records.
+// IsFull reports whether a new segment is needed: the current one is full, or was closed after an error.
 func (l *Log) IsFull() bool { return !l.segmentOpen || l.isSegmentFull() }
 
 // Written returns the sequence number up to which records are written.
@@ -264,15 +263,15 @@
 // Durable returns the sequence number up to which records are durable.
 func (l *Log) Durable() uint64 { return l.durableTo }
 
-// ErrorCount returns the number of errors. A request that waits for a record across an error waits for a disk that may never
-// recover.
+// ErrorCount returns the number of disk errors. Callers that wait for a record should stop waiting when it changes, as the disk may
+// never recover.
 func (l *Log) ErrorCount() uint64 { return l.errorCount }
 
-// Dropped returns the number of records for which there was no room.
+// Dropped returns the number of records that did not fit into MaxPendingBytes.
 func (l *Log) Dropped() uint64 { return l.dropped }
 
-// Ready reports whether a record that is added now can be expected to be safe soon. If not, reason says why, and retryAfter
-// when that may change.
+// Ready reports whether a record that is added now can be expected to be safe soon: reason is empty. Otherwise reason describes the
+// disk's state, and retryAfter is the time after which it may have changed.
 func (l *Log) Ready(now time.Time) (reason string, retryAfter time.Duration) {
 	isWriteSlow := (l.writing || l.opening) && now.Sub(l.writeStartedAt) > l.config.SlowDiskTime
 	isSyncSlow := l.syncing && now.Sub(l.syncStartedAt) > l.config.SlowDiskTime
@@ -287,10 +286,10 @@
 	return "", 0
 }
 
-// BeginClose has all pending records made durable without a delay.
+// BeginClose ends the delay of fsyncs, so that all pending records are made durable as soon as possible.
 func (l *Log) BeginClose() { l.closing = true }
 
-// IsDone reports whether all records are durable after BeginClose, or will never be.
+// IsDone reports whether, after BeginClose, all records are durable or the disk has failed.
 func (l *Log) IsDone() bool {
 	if !l.closing || l.writing || l.syncing || l.opening {
 		return false
--- a/internal/ledger/commit/retention.go
+++ b/internal/ledger/commit/retention.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Segment is a segment that is kept.
+// Segment describes a segment on the disk.
 type Segment struct {
 	Number       uint64
 	Bytes        int64
-	LastRecordAt time.Time // or later
+	LastRecordAt time.Time // when the last record was written, or later
 }
 
-// Retention is how long segments are kept.
+// Retention determines how long segments are kept.
 type Retention struct {
 	MaxAge   time.Duration
 	MaxBytes int64
-	// MinAge is how long a key that may have run must be known: no younger segment is removed, whatever the size.
+	// MinAge is how long keys that may have run must be known. No segment younger than MinAge is removed, even beyond MaxBytes.
 	MinAge time.Duration
 }
 
-// Expired returns the segments to remove, of those that are not written any more, oldest first. Over means that more than
-// MaxBytes remain because keys must be known.
+// Expired returns the numbers of the segments to remove, from all segments that are no longer written, oldest first. Over means that
+// more than MaxBytes remain because of MinAge.
 func (r Retention) Expired(now time.Time, all []Segment) (expired []uint64, over bool) {
 	total := int64(0)
 	for _, s := range all {
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -12,15 +12,15 @@
 	"silvertrail/lbpolicy"
 )
 
-// Request is what is recorded of a request when it is received.
+// Request describes a received request for its first record.
 type Request struct {
 	ID, Class   string
 	Tenant, Key string
 	KeyID       idempotency.KeyID
 	Fingerprint idempotency.Fingerprint
 	TimeLeft    time.Duration
-	FromSite    string // that forwarded it; empty: a client sent it
-	// Unrecorded has the request served even if it cannot be recorded.
+	FromSite    string // site that forwarded the request; empty if a client sent it
+	// Unrecorded allows the request to be served even if it cannot be recorded.
 	Unrecorded bool
 }
 
@@ -33,16 +33,17 @@
 	mu          sync.Mutex // guards the fields below
 	attempts    int
 	ended       bool
-	responseSeq uint64 // of the record of a successful response
+	responseSeq uint64 // sequence number of the record of a successful response; 0 if there is none
 }
 
 const (
-	// maxTenantBytes bounds a stored tenant. A longer one is part of the key's ID.
+	// maxTenantBytes bounds the stored tenant name. A longer name is cut off, but the key's ID covers all of it.
 	maxTenantBytes = 256
 	noRoomReason   = "no room for records"
 )
 
-// Begin records that a request was received. An *UnavailableError means that it cannot be: nothing of it may be sent.
+// Begin records that a request was received. It returns an *UnavailableError if the request cannot be recorded: no attempt of it
+// may be sent then. A request with Unrecorded set gets an entry nevertheless.
 func (l *Ledger) Begin(r Request) (*Entry, error) {
 	record := segment.Record{
 		Kind:        segment.Received,
@@ -81,12 +82,12 @@
 	endpoint string
 	terms    idempotency.Terms
 
-	mu       sync.Mutex // guards the fields below; taken after the ledger's
+	mu       sync.Mutex // guards the fields below; locked after the ledger's mutex
 	intended bool
 	ended    bool
 }
 
-// Attempt begins a request's next attempt. Nothing is recorded until its Intent.
+// Attempt begins the request's next attempt. Nothing is recorded until Intent is called.
 func (e *Entry) Attempt(endpoint string, terms idempotency.Terms) *Attempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,8 +95,9 @@
 	return &Attempt{entry: e, number: e.attempts, endpoint: endpoint, terms: terms}
 }
 
-// Intent records that the attempt is about to be sent, and returns when the record is as safe as the mode requires. After an
-// error nothing of it may be sent.
+// Intent records that the attempt is about to be sent to a place. It returns once the record is durable, or only written in mode
+// OSBuffered. After an error the attempt must not be sent. For a request with Unrecorded set, a ledger that cannot record is not an
+// error: the attempt is counted as unrecorded.
 func (a *Attempt) Intent(ctx context.Context, to idempotency.Place) error {
 	l := a.entry.ledger
 	l.mu.Lock()
@@ -114,10 +116,10 @@
 	return nil
 }
 
-// errAttemptEnded means that the attempt has ended before its intent was recorded.
+// errAttemptEnded means that the attempt ended before its intent was recorded.
 var errAttemptEnded = context.Canceled
 
-// addIntent adds the record of an attempt's intent. The caller holds the ledger's lock.
+// addIntent adds the record of the attempt's intent. The caller holds the ledger's lock.
 func (a *Attempt) addIntent(to idempotency.Place) (seq uint64, err error) {
 	l := a.entry.ledger
 	a.mu.Lock()
@@ -162,7 +164,8 @@
 	lbpolicy.Rejected:      "rejected",
 }
 
-// Ended records how the attempt has ended. Status is that of a response, or 0. It does not wait.
+// Ended records the attempt's outcome. Status is the HTTP status of the response, or 0 if there was none. It does not wait for the
+// record to be written. A second call records nothing, nor does a call for an attempt whose intent was not recorded.
 func (a *Attempt) Ended(v lbpolicy.Verdict, status int) {
 	l := a.entry.ledger
 	l.mu.Lock()
@@ -191,10 +194,11 @@
 	}
 }
 
-// Finish records the request's one answer, before its first byte is sent to the client. A response of an endpoint waits until
-// its record is as safe as the mode requires, within SlowDiskTime; a request that was given up never waits. Nobody waits for
-// the record of the final answer itself: if the process ends between the two, the ledger tells that the request ran, and not
-// whether its client got the answer.
+// Finish records the final answer to the request. It must be called before the first byte of the answer is sent to the client.
+// Before an endpoint's successful response is served, Finish waits until the record of that response is durable in mode EachRecord,
+// or written in the other modes. It waits for about SlowDiskTime at most. If the record is not safe by then, or the disk is not
+// usable, the response counts as late. Other answers do not wait. Finish never waits for the record of the final answer itself. If the process ends before that record is
+// written, the ledger shows that the request ran, but not whether the client got the answer.
 func (e *Entry) Finish(ending segment.Ending, status int) {
 	e.mu.Lock()
 	wasEnded, responseSeq := e.ended, e.responseSeq
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -7,7 +7,7 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// What the control socket tells of a running ledger.
+// The JSON status that the control socket returns for a running ledger keeps its format.
 func TestViewFormat(t *testing.T) {
 	var v View
 	golden.Fill(&v)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,10 +1,10 @@
 // Package ledger records every request with an idempotency key on a disk: that it was received, to which endpoint an attempt
-// is about to be sent, how the attempt ended, and what the client was told. After a crash the records tell what became of
-// each request, and which keys may have run where.
+// is about to be sent, how the attempt ended, and what the client was told. After a crash the records show what became of
+// each request, and where each key may have been executed.
 //
-// It is the host of the packages segment (the format), commit (what is written and made durable, and when) and
-// requesthistory (what became of each request), and decides nothing itself. A Ledger owns its directory and four goroutines:
-// one writes, one makes durable, one ends waits that take too long, and one watches the clock and removes old segments.
+// It does the I/O for three packages that decide: segment (the file format), commit (what is written and made durable, and when)
+// and requesthistory (what became of each request). A Ledger owns its directory and four goroutines. One writes records, one calls
+// fsync, one ends waits that take too long, and one watches the clock and removes expired segments and keys.
 package ledger
 
 import (
@@ -28,13 +28,13 @@
 	Dir           string
 	Commit        commit.Config
 	Retention     commit.Retention
-	Secret        []byte        // keys and tenants are stored as hashes under it; nil: plain
-	IgnoreLosses  bool          // keys are served although records are lost that may have told of them
-	MaxClockError time.Duration // of the wall clock, between two boots of the machine
-	MaxKeys       int           // that are remembered
+	Secret        []byte        // if not nil, keys and tenants are stored as HMACs under this secret
+	IgnoreLosses  bool          // accepts keys that the log does not contain even if lost records may have contained them
+	MaxClockError time.Duration // maximum error of the wall clock between two boots of the machine
+	MaxKeys       int           // maximum number of recovered keys that are remembered
 
-	Disk disk.Disk // nil: the directory
-	// BootID identifies the boot of the machine, and SinceBoot is the time since then; nil: the system's.
+	Disk disk.Disk // nil: the directory Dir
+	// BootID identifies the boot of the machine, and SinceBoot returns the time since then. Empty or nil: the system's values.
 	BootID    string
 	SinceBoot func() time.Duration
 	Log       *slog.Logger
@@ -45,44 +45,44 @@
 	log              *slog.Logger
 	disk             disk.Disk
 	sinceBoot        func() time.Duration
-	lock             *disk.Lock // nil: the disk is simulated
+	lock             *disk.Lock // nil if Options.Disk is set
 	startedAt        time.Time
 	startedSinceBoot time.Duration
 	slept            atomic.Int64   // nanoseconds that the machine was suspended
-	header           segment.Header // of the next segment, except what is specific to it
+	header           segment.Header // header of the next segment, without the fields that differ between segments
 	options          atomic.Pointer[Options]
 
 	mu              sync.Mutex // guards the fields below
 	commit          *commit.Log
 	frameBuffer     []byte
-	reportedErrors  uint64        // errors of the disk that waiters were notified of
-	written         waitQueue     // for a record to be written
-	durable         waitQueue     // for a record to be durable
-	flushed         chan struct{} // closed once all records are durable at the end
-	segmentNumber   uint64        // of the last segment
+	reportedErrors  uint64        // disk errors that waiters were notified of
+	written         waitQueue     // waiters for a record to be written
+	durable         waitQueue     // waiters for a record to be durable
+	flushed         chan struct{} // closed during Close, once all records are durable or the disk has failed
+	segmentNumber   uint64        // number of the last segment
 	segments        []commit.Segment
 	file            disk.File
 	salt            uint64
 	requestCount    uint64
-	unrecorded      segment.Record // requests that were served without records, since the last record of them
-	unrecordedCount uint64         // all of them
-	lateAnswers     uint64         // that were sent before their record was safe
+	unrecorded      segment.Record // counts attempts sent without records since the last such record was added
+	unrecordedCount uint64         // all attempts sent without records
+	lateAnswers     uint64         // responses sent before their record was safe
 	syncCount       uint64
 	syncedRecords   uint64
 	clockShift      time.Duration
-	reportedState   string             // of the disk, as logged last
-	recovered       *idempotency.Table // of earlier processes, by masked IDs
+	reportedState   string             // why requests cannot be recorded, as logged last; empty: they can
+	recovered       *idempotency.Table // keys of earlier processes, by masked ID
 	fingerprints    map[idempotency.KeyID]idempotency.Fingerprint
 	hasRecovered    atomic.Bool
 	uncertainUntil  time.Time
-	report          Report // of the log at the start
+	report          Report // result of reading the log at the start
 
 	wakeWriter, wakeSyncer chan struct{}
 	closed                 chan struct{}
 	goroutines             sync.WaitGroup
 }
 
-// UnavailableError means that a request cannot be recorded now: nothing of it may be sent.
+// UnavailableError means that a request cannot be recorded now. No attempt of it may be sent.
 type UnavailableError struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -90,8 +90,8 @@
 
 func (e *UnavailableError) Error() string { return "ledger: " + e.Reason }
 
-// Start locks the directory, reads what earlier processes have left there, and starts a new segment. Damage is reported and
-// does not prevent it from starting; a directory that another process has locked, or that cannot be written, does.
+// Start locks the directory, reads the log of earlier processes, and opens a new segment. Damage in the log is reported and is not
+// an error. Start fails if another process has locked the directory, or if the directory cannot be written.
 func Start(o Options) (*Ledger, error) {
 	l := &Ledger{
 		log:        o.Log.With("component", "ledger"),
@@ -122,7 +122,7 @@
 	return l, nil
 }
 
-// lockDirectory makes the directory, and locks it for this process.
+// lockDirectory creates the directory, and locks it for this process.
 func (l *Ledger) lockDirectory(path string) error {
 	d := disk.Dir(path)
 	if err := os.MkdirAll(path, 0o700); err != nil {
@@ -142,11 +142,11 @@
 	}
 }
 
-// processSeqBits separates the sequence numbers of processes: each starts at a multiple of 2 to the power of it, so that what
-// the previous process may have written unnoticed never has the sequence number of one of its own records.
+// processSeqBits separates the sequence numbers of processes: each process starts at the next multiple of 1<<processSeqBits. So a
+// record of the previous process that was not found in the log never has the sequence number of a new record.
 const processSeqBits = 20
 
-// open reads the log, and opens a segment.
+// open reads the log, and opens the first segment.
 func (l *Ledger) open(o Options) error {
 	bootID := o.BootID
 	if bootID == "" {
@@ -177,14 +177,14 @@
 
 func randomID() uint64 { return rand.Uint64() | 1 }
 
-// CheckUpdate returns an error for options that a running ledger cannot apply: the directory, and how names are stored.
+// CheckUpdate returns an error for options that a running ledger cannot apply: another directory, or another secret.
 func (l *Ledger) CheckUpdate(o Options) error {
 	current := l.options.Load()
 	switch {
 	case o.Dir != current.Dir:
-		return errors.New("ledger: its directory is that of the whole process: restart it")
+		return errors.New("ledger: the directory cannot change while the process runs: restart it")
 	case string(o.Secret) != string(current.Secret):
-		return errors.New("ledger: how names are stored holds for the whole process: restart it")
+		return errors.New("ledger: the secret cannot change while the process runs: restart it")
 	}
 	return nil
 }
@@ -199,18 +199,18 @@
 	l.commit.Configure(o.Commit)
 }
 
-// elapsed returns the time since the process started, by a monotonic clock.
+// elapsed returns the time since the ledger started, by a monotonic clock that includes time while the machine was suspended.
 func (l *Ledger) elapsed() time.Duration {
 	return time.Since(l.startedAt) + time.Duration(l.slept.Load())
 }
 
 const (
-	closeTimeout = 3 * time.Second   // for the disk
-	endTimeout   = closeTimeout / 10 // for the goroutines
+	closeTimeout = 3 * time.Second   // for the last records to be durable
+	endTimeout   = closeTimeout / 10 // for the goroutines to return
 )
 
-// Close makes all records durable, records the clean shutdown, and unlocks the directory. It does not wait for a disk that
-// hangs.
+// Close records the clean shutdown, makes all records durable, and unlocks the directory. If the disk hangs, it returns after
+// closeTimeout and endTimeout.
 func (l *Ledger) Close() {
 	if !l.beginClose() {
 		return
@@ -224,7 +224,7 @@
 	}
 	close(l.closed)
 	ended := make(chan struct{})
-	go func() { // ends with the goroutines, or with the process if the disk hangs
+	go func() { // returns after the goroutines; if the disk hangs, it may run until the process ends
 		l.goroutines.Wait()
 		close(ended)
 	}()
@@ -235,19 +235,19 @@
 		}
 		l.logFileError("close", l.file.Close())
 	case <-time.After(endTimeout):
-		l.log.Error("disk hangs at the end of the log")
+		l.log.Error("disk hangs while the ledger closes")
 	}
 	l.unlock()
 }
 
-// logFileError logs an error at the end of the log.
+// logFileError logs an error of the last segment's file during Close.
 func (l *Ledger) logFileError(operation string, err error) {
 	if err != nil {
-		l.log.Error("end of the log not safe", "operation", operation, "error", err)
+		l.log.Error("last segment not synced or closed", "operation", operation, "error", err)
 	}
 }
 
-// beginClose adds the last records; false: Close was called before.
+// beginClose adds the last records. It returns false if the ledger is closed already.
 func (l *Ledger) beginClose() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/maintenance.go
+++ b/internal/ledger/maintenance.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	checkInterval     = 250 * time.Millisecond // of the clock and the directory
-	cleanupInterval   = 10 * time.Second       // of segments and keys
-	minClockShift     = 100 * time.Millisecond // that is recorded
-	minWaiterInterval = time.Millisecond
-	waiterDivider     = 4 // of SlowDiskTime
+	checkInterval     = 250 * time.Millisecond // between checks of the clock and the directory
+	cleanupInterval   = 10 * time.Second       // between removals of expired segments and keys
+	minClockShift     = 100 * time.Millisecond // smaller changes of the wall clock are not recorded
+	minWaiterInterval = time.Millisecond       // between checks of the waiters' deadlines
+	waiterDivider     = 4                      // deadlines are checked at intervals of SlowDiskTime / waiterDivider
 )
 
-// waiterLoop ends waits that take too long, and has records written that nobody waits for. It does no I/O, so that it goes on
-// while the disk hangs.
+// waiterLoop ends waits whose deadline has passed, and wakes the writer for records that no request waits for. It does no I/O, so
+// that it keeps running while the disk hangs.
 func (l *Ledger) waiterLoop() {
 	interval := min(max(l.options.Load().Commit.SlowDiskTime/waiterDivider, minWaiterInterval), checkInterval)
 	ticker := time.NewTicker(interval)
@@ -38,7 +38,7 @@
 	}
 }
 
-// maintenanceLoop watches the wall clock and the directory, and removes old segments and keys.
+// maintenanceLoop watches the wall clock and the directory, and removes expired segments and keys.
 func (l *Ledger) maintenanceLoop() {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -60,7 +60,7 @@
 
 var errSegmentRemoved = errors.New("the segment in use is not in the directory any more")
 
-// isSegmentRemoved reports whether the present segment was removed: writes to it would succeed, and be lost.
+// isSegmentRemoved reports whether the current segment's file was removed. Writes to it would succeed, and be lost.
 func (l *Ledger) isSegmentRemoved() bool {
 	l.mu.Lock()
 	number := l.segments[len(l.segments)-1].Number
@@ -69,7 +69,8 @@
 	return errors.Is(err, os.ErrNotExist)
 }
 
-// checkClock records changes of the wall clock, and requests that were served without records.
+// checkClock measures how long the machine was suspended, and records changes of the wall clock. It also reports a removed segment as
+// a failure of the disk, and records the number of attempts that were sent without records.
 func (l *Ledger) checkClock() {
 	now := time.Now()
 	removed := l.isSegmentRemoved()
@@ -87,9 +88,9 @@
 	l.logState(now)
 }
 
-// recordClockShift records that the wall clock was set. The caller holds the lock.
+// recordClockShift records that the wall clock was set, if by more than minClockShift. The caller holds the lock.
 func (l *Ledger) recordClockShift(now time.Time, at time.Duration) {
-	shift := now.Round(0).Sub(l.startedAt.Round(0).Add(at)) // by the wall clocks
+	shift := now.Round(0).Sub(l.startedAt.Round(0).Add(at)) // of the wall clock against the monotonic clock
 	change := shift - l.clockShift
 	if change.Abs() <= minClockShift {
 		return
@@ -99,8 +100,7 @@
 	l.log.Warn("wall clock was set", "by", change)
 }
 
-// recordUnrecorded records the number of requests that were served without records, once that is possible. The caller holds the
-// lock.
+// recordUnrecorded records the number of attempts that were sent without records, once that is possible. The caller holds the lock.
 func (l *Ledger) recordUnrecorded(now time.Time) {
 	if reason, _ := l.commit.Ready(now); reason != "" || l.unrecorded.Count == 0 {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// countUnrecorded counts a request that is served without a record. The caller holds the lock.
+// countUnrecorded counts an attempt that is sent without a record. The caller holds the lock.
 func (l *Ledger) countUnrecorded() {
 	at := l.elapsed()
 	if l.unrecorded.Count == 0 {
@@ -136,14 +136,14 @@
 	}
 }
 
-// removeExpiredSegments removes segments that are not kept any longer.
+// removeExpiredSegments removes segments whose retention is over.
 func (l *Ledger) removeExpiredSegments(now time.Time) {
 	l.mu.Lock()
-	segments := slices.Clone(l.segments[:len(l.segments)-1]) // the last one is being written
+	segments := slices.Clone(l.segments[:len(l.segments)-1]) // the last segment is being written
 	l.mu.Unlock()
 	expired, over := l.options.Load().Retention.Expired(now, segments)
 	if over {
-		l.log.Warn("log over its size, younger segments are needed for keys")
+		l.log.Warn("log exceeds its maximum size: recent segments are kept for their keys")
 	}
 	for _, number := range expired {
 		if err := l.disk.Remove(segmentName(number)); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/ledger/mask.go
+++ b/internal/ledger/mask.go
@@ -8,7 +8,7 @@
 	"silvertrail/internal/balancer/idempotency"
 )
 
-// What is hashed. The values keep the hashes of different kinds apart.
+// The kinds of hashed values. The kind is part of the hash, so that equal values of different kinds have different hashes.
 const (
 	kindKey         = "key"
 	kindTenant      = "tenant"
@@ -16,7 +16,7 @@
 	kindFingerprint = "print"
 )
 
-// maskName returns a name as it is stored: plain, or its hash under the secret.
+// maskName returns a name as it is stored: in plain text, or hashed if there is a secret.
 func (l *Ledger) maskName(kind, name string) string {
 	secret := l.options.Load().Secret
 	if secret == nil || name == "" {
@@ -25,13 +25,13 @@
 	return HashName(secret, kind, name)
 }
 
-// HashName returns the hash of a name under a secret. Kind is "key" or "tenant".
+// HashName returns the hash of a name under a secret, in hexadecimal. Kind is "key" or "tenant".
 func HashName(secret []byte, kind, name string) string {
 	h := keyedHash(secret, kind, []byte(name))
 	return hex.EncodeToString(h[:])
 }
 
-// keyedHash returns the first half of an HMAC-SHA-256.
+// keyedHash returns the first half of the HMAC-SHA-256 of a kind and its data.
 func keyedHash(secret []byte, kind string, data []byte) (out [16]byte) {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(kind))
@@ -41,6 +41,7 @@
 	return out
 }
 
+// maskKeyID returns a key's ID as it is stored.
 func (l *Ledger) maskKeyID(id idempotency.KeyID) idempotency.KeyID {
 	if secret := l.options.Load().Secret; secret != nil {
 		return keyedHash(secret, kindKeyID, id[:])
--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -15,23 +15,23 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// SegmentFile is what was found of one segment.
+// SegmentFile is the result of reading one segment's file.
 type SegmentFile struct {
 	Name       string
 	Bytes      int64
 	Header     segment.Header
 	Records    uint64
 	Damage     []segment.Damage
-	SkipReason string // empty: it was read
-	// Torn means that the damage is the end of what a process wrote: records that it was writing as it ended.
+	SkipReason string // why the segment was not read; empty if it was
+	// Torn means that all damage is in records that a process was writing when it ended.
 	Torn bool
 
-	number      uint64 // by its name
+	number      uint64 // from the file's name
 	incarnation *requesthistory.Incarnation
 	lastRecord  time.Duration
 }
 
-// segmentNumber returns the segment's number, by its name if its header cannot be read.
+// segmentNumber returns the segment's number from its header, or from the file's name if the header cannot be read.
 func (f *SegmentFile) segmentNumber() uint64 {
 	if f.Header.Salt == 0 {
 		return f.number
@@ -39,10 +39,10 @@
 	return f.Header.Number
 }
 
-// isTorn reports whether all damage is at the end of what the process wrote.
+// isTorn reports whether all damage is at the end of the process's records, after the last one known to be durable.
 func (f *SegmentFile) isTorn() bool {
 	return len(f.Damage) > 0 && !slices.ContainsFunc(f.Damage, func(d segment.Damage) bool {
-		if d.IsHeader { // of a segment without records it was being written
+		if d.IsHeader { // a segment without records may have ended while its header was written
 			return f.Records > 0
 		}
 		return d.Before != 0 && max(d.After+1, f.Header.FirstSeq) <= f.incarnation.DurableTo
@@ -57,7 +57,7 @@
 	Incarnations []*requesthistory.Incarnation
 	Records      uint64
 	LastSeq      uint64
-	lastSegment  uint64 // number
+	lastSegment  uint64 // highest segment number
 }
 
 // IsSound reports whether nothing is lost or damaged except torn ends.
@@ -70,8 +70,8 @@
 	return !slices.ContainsFunc(r.Losses, func(l requesthistory.DataLoss) bool { return !l.Torn })
 }
 
-// Read reads a log, and calls onRequest for each request. Running means that a process is writing it. Memory is bounded by the
-// requests that were in progress at one time, whatever the size of the log.
+// Read reads a log, and calls onRequest for each request. Running means that a process is writing the log. Memory use is bounded by
+// the number of requests that were in progress at one time, and does not depend on the size of the log.
 func Read(d disk.Disk, running bool, onRequest func(*requesthistory.Request)) (*Report, error) {
 	report := &Report{}
 	files, err := report.listFiles(d)
@@ -120,7 +120,7 @@
 	return files, nil
 }
 
-// selectFiles skips copies of segments, and segments of other ledgers.
+// selectFiles marks copies of segments, and segments of other ledgers, as skipped.
 func (r *Report) selectFiles(files []SegmentFile) {
 	nameBySalt := map[uint64]string{}
 	for i := range files {
@@ -153,14 +153,14 @@
 	return s.Header, nil
 }
 
-// neverUsed is the skip reason of a segment in which no record was ever written: its process ended, or its disk failed, before
-// its header was durable.
+// neverUsed is the skip reason of a segment without records whose header was never durable: the process ended, or the disk failed,
+// before.
 const neverUsed = "never used"
 
 // blankReadBytes is how much of a file is read at once.
 const blankReadBytes = 64 << 10
 
-// isBlank reports whether a file holds nothing but zeros after the place of its header.
+// isBlank reports whether a file contains only zeros after the space reserved for its header.
 func isBlank(d disk.Disk, name string) bool {
 	file, err := d.Open(name)
 	if err != nil {
@@ -182,10 +182,10 @@
 	}
 }
 
-// ErrNoLedger means that a directory holds no ledger.
-var ErrNoLedger = errors.New("no segment of a ledger is here")
+// ErrNoLedger means that a directory contains no ledger.
+var ErrNoLedger = errors.New("the directory contains no ledger segments")
 
-// ReadDir reads a log's directory, or a copy of it. Running means that a process is writing it.
+// ReadDir reads a log's directory, or a copy of it. Running means that a process is writing the log.
 func ReadDir(path string, onRequest func(*requesthistory.Request)) (report *Report, running bool, err error) {
 	d := disk.Dir(path)
 	running = d.IsLocked()
--- a/internal/ledger/reader.go
+++ b/internal/ledger/reader.go
@@ -9,14 +9,14 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// deferredRecord is a record of a segment that was not trusted to its end. It counts only if the next segment does not have it
-// again.
+// deferredRecord is a record at the end of a segment, from the first sequence number of the process's next segment on. The process
+// wrote such records again after an error. A deferred record counts only if the next segment does not contain it.
 type deferredRecord struct {
 	seq    uint64
 	record segment.Record
 }
 
-// reader is one pass over a log.
+// reader is the state of one pass over a log.
 type reader struct {
 	disk     disk.Disk
 	index    *requesthistory.Index
@@ -30,7 +30,7 @@
 		if files[i].SkipReason != "" {
 			continue
 		}
-		nextSeq := uint64(0) // the first record of the process's next segment
+		nextSeq := uint64(0) // first sequence number of the process's next segment; 0: none follows
 		next := nextFile(files[i+1:])
 		if next != nil && next.Header.Process == files[i].Header.Process {
 			nextSeq = next.Header.FirstSeq
@@ -50,7 +50,7 @@
 	return &files[i]
 }
 
-// readFile reads one segment's records. From nextSeq on they count only if the next segment does not have them.
+// readFile reads one segment's records. Records from nextSeq on count only if the next segment does not contain them.
 func (r *reader) readFile(f *SegmentFile, nextSeq uint64, running bool) {
 	file, err := r.disk.Open(f.Name)
 	var s *segment.Scanner
@@ -58,7 +58,7 @@
 		defer file.Close()
 		s, err = segment.NewScanner(file)
 	}
-	if err != nil { // it could be read a moment ago
+	if err != nil { // the header was readable when the files were listed
 		f.SkipReason = err.Error()
 		return
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// addDeferred adds the deferred records before a record.
+// addDeferred adds the deferred records before a record, and drops a deferred record with the same sequence number.
 func (r *reader) addDeferred(seq uint64) {
 	for len(r.deferred) > 0 && r.deferred[0].seq <= seq {
 		first := r.deferred[0]
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -8,7 +8,7 @@
 	"silvertrail/internal/ledger/requesthistory"
 )
 
-// recoverState reads from the log where keys may have run, and whether records are lost that could have told of more.
+// recoverState reads from the log where keys may have been executed, and whether lost records may have contained more keys.
 func (l *Ledger) recoverState(bootID string) error {
 	o := l.options.Load()
 	now := requesthistory.Clock{Time: time.Now(), BootID: bootID, SinceBoot: l.startedSinceBoot, MaxError: o.MaxClockError}
@@ -32,13 +32,13 @@
 	l.uncertainUntil = report.uncertainUntil(now, o.Retention.MinAge)
 	l.logReport(report)
 	if !l.uncertainUntil.IsZero() {
-		l.log.Error("records are lost that may have told of keys", "until", l.uncertainUntil, "served_all_the_same", o.IgnoreLosses)
+		l.log.Error("lost records may have contained keys", "until", l.uncertainUntil, "served_all_the_same", o.IgnoreLosses)
 	}
 	l.log.Info("log read", "records", report.Records, "segments", len(report.Files), "keys", l.recovered.Len(), "took", time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
-// recoverKeys remembers the key of a request where an attempt may have run.
+// recoverKeys remembers the key of a request whose attempts may have run, for each place where they may have.
 func (l *Ledger) recoverKeys(now requesthistory.Clock, r *requesthistory.Request) {
 	r.EachKeyRecord(now, func(record idempotency.Record) {
 		l.recovered.Merge(now.Time, record)
@@ -48,7 +48,7 @@
 	})
 }
 
-// uncertainUntil returns until when keys may be remembered somewhere of which records are lost. Zero: none are.
+// uncertainUntil returns until when endpoints may remember keys whose records are lost. The zero time means that there are none.
 func (r *Report) uncertainUntil(now requesthistory.Clock, maxRetention time.Duration) time.Time {
 	var until time.Time
 	for _, loss := range r.Losses {
@@ -62,7 +62,7 @@
 	return until
 }
 
-// hasUnreadableSegment reports whether there is a segment of which nothing is known.
+// hasUnreadableSegment reports whether there is a segment whose header cannot be read, and that may contain records.
 func (r *Report) hasUnreadableSegment() bool {
 	for _, f := range r.Files {
 		if f.SkipReason != "" && f.SkipReason != neverUsed && f.Header.Salt == 0 {
@@ -72,8 +72,8 @@
 	return false
 }
 
-// lostBufferedRecords reports whether the machine was restarted while the operating system may have had records that were not on
-// the disk.
+// lostBufferedRecords reports whether the machine was restarted while the operating system may have buffered records that were not
+// on the disk.
 func (r *Report) lostBufferedRecords(bootID string) bool {
 	if len(r.Incarnations) == 0 {
 		return false
@@ -96,8 +96,8 @@
 	}
 }
 
-// lastWritten returns when a segment's last record was written, by this process's clock. If that is not known, it counts as
-// written now.
+// lastWritten returns the latest time at which a segment's last record may have been written, by this process's clock. If that is
+// unknown, it returns the present time.
 func lastWritten(now requesthistory.Clock, f *SegmentFile) time.Time {
 	if f.incarnation == nil {
 		return now.Time
@@ -109,7 +109,7 @@
 	return now.Time.Add(-least)
 }
 
-// RecoveredKey returns what earlier processes have recorded of a key with which an attempt may have run.
+// RecoveredKey returns the record of earlier processes for a key, if an attempt with the key may have run.
 func (l *Ledger) RecoveredKey(now time.Time, id idempotency.KeyID) (record idempotency.Record, fingerprint idempotency.Fingerprint, ok bool) {
 	if !l.hasRecovered.Load() {
 		return record, fingerprint, false
@@ -124,7 +124,8 @@
 	return record, fingerprint, ok
 }
 
-// IsUncertain reports whether an unknown key may have run all the same, as records are lost.
+// IsUncertain reports whether a key that the log does not contain may have run nevertheless, because records are lost. It always
+// returns false with IgnoreLosses.
 func (l *Ledger) IsUncertain(now time.Time) bool {
 	return !l.uncertainUntil.IsZero() && now.Before(l.uncertainUntil) && !l.options.Load().IgnoreLosses
 }
--- a/internal/ledger/waitqueue.go
+++ b/internal/ledger/waitqueue.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// waiter waits for a record.
+// waiter is a call that waits for a record to be written or durable.
 type waiter struct {
 	seq      uint64
 	deadline time.Time
 	done     chan error
 }
 
-// waitQueue holds waiters in the order of their records. The ledger's lock guards it.
+// waitQueue holds waiters in the order of their sequence numbers. The ledger's lock guards it.
 type waitQueue struct{ all []*waiter }
 
-// add adds a waiter. Most come in the order of their records.
+// add adds a waiter. It searches from the end, as most waiters are added in order.
 func (q *waitQueue) add(w *waiter) {
 	i := len(q.all)
 	for i > 0 && q.all[i-1].seq > w.seq {
@@ -28,7 +28,7 @@
 
 var waiters = sync.Pool{New: func() any { return &waiter{done: make(chan error, 1)} }}
 
-// slowRetryAfter is when clients may retry for whom the disk was too slow.
+// slowRetryAfter is the retry delay of requests whose wait for the disk was ended.
 const slowRetryAfter = 100 * time.Millisecond
 
 // expire ends the waits whose deadline has passed.
@@ -42,7 +42,7 @@
 	})
 }
 
-// release ends the waits for records up to one, and all of them with an error if the disk has failed.
+// release ends the waits for records up to a sequence number. If failure is not nil, it ends all other waits with that error.
 func (q *waitQueue) release(seq uint64, failure error) {
 	n := 0
 	for n < len(q.all) && q.all[n].seq <= seq {
@@ -56,7 +56,8 @@
 	q.all = slices.Delete(q.all, 0, n)
 }
 
-// notifyWaiters ends the waits for records that are safe now. The caller holds the lock.
+// notifyWaiters ends the waits for records that are written or durable now, and all waits after a disk error. The caller holds the
+// lock.
 func (l *Ledger) notifyWaiters(now time.Time) {
 	var failure error
 	if count := l.commit.ErrorCount(); count != l.reportedErrors {
@@ -71,7 +72,7 @@
 	}
 }
 
-// markFlushed lets Close go on. The caller holds the lock.
+// markFlushed tells Close that no records are left to be flushed. The caller holds the lock.
 func (l *Ledger) markFlushed() {
 	select {
 	case <-l.flushed:
@@ -80,8 +81,8 @@
 	}
 }
 
-// await waits until a record is written or durable, for SlowDiskTime and a quarter of it at most. The caller holds the lock, which
-// await releases.
+// await waits until a record is written or durable, for at most SlowDiskTime and one interval of waiterLoop (a quarter of
+// SlowDiskTime). The caller holds the lock, which await releases.
 func (l *Ledger) await(ctx context.Context, seq uint64, durable bool) error {
 	if l.commit.Durable() >= seq || !durable && l.commit.Written() >= seq {
 		l.mu.Unlock()
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -11,14 +11,15 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// addRecord adds a record. It is written at once if urgent, else with the next urgent one, or soon. The caller holds the lock.
+// addRecord adds a record. An urgent record wakes the writer. Any other is written together with the next urgent one, or when
+// waiterLoop wakes the writer. The caller holds the lock.
 func (l *Ledger) addRecord(r *segment.Record, urgent bool) (seq uint64, ok bool) {
 	seq = l.commit.NextSeq()
 	if durable := l.commit.Durable(); durable > 0 && (r.Kind == segment.Intent || r.Kind == segment.Final) {
 		r.DurableLag = seq - durable
 	}
 	frame, err := segment.AppendFrame(l.frameBuffer[:0], seq, r)
-	if err != nil { // the bounds of its parts keep every record short enough
+	if err != nil { // not expected: the bounds of the fields keep every record short enough
 		l.log.Error("record not encoded", "error", err)
 		return seq, false
 	}
@@ -30,6 +31,7 @@
 	return seq, ok
 }
 
+// wake signals a channel with a buffer of one. It does not block.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -37,7 +39,7 @@
 	}
 }
 
-// writeLoop opens segments and writes to them, which nobody else does.
+// writeLoop opens segments and writes frames to them. After Start no other goroutine does.
 func (l *Ledger) writeLoop() {
 	for {
 		l.mu.Lock()
@@ -68,7 +70,7 @@
 	}
 }
 
-// syncLoop makes durable what is written.
+// syncLoop makes written records durable.
 func (l *Ledger) syncLoop() {
 	for {
 		l.mu.Lock()
@@ -101,7 +103,7 @@
 	}
 }
 
-// awaitSignal waits for a signal or a time; false: the ledger is closed.
+// awaitSignal waits for a signal or a time. It returns false once the ledger is closed.
 func (l *Ledger) awaitSignal(signal chan struct{}, until time.Time) bool {
 	var due <-chan time.Time
 	if !until.IsZero() {
@@ -118,7 +120,7 @@
 	return true
 }
 
-// logState logs whether requests can be recorded where that has changed. The caller holds the lock.
+// logState logs whether requests can be recorded, if that has changed. The caller holds the lock.
 func (l *Ledger) logState(now time.Time) {
 	reason, _ := l.commit.Ready(now)
 	if reason == l.reportedState {
@@ -137,10 +139,10 @@
 
 const segmentSuffix = ".seg"
 
-// openSegment makes the next segment. Only the writer calls it.
+// openSegment creates the next segment. After Start only writeLoop calls it.
 func (l *Ledger) openSegment() (size int64, err error) {
 	if l.file != nil {
-		_ = l.file.Close() // it is durable, or not trusted
+		_ = l.file.Close() // its records are durable, or are written again to the next segment
 	}
 	o := l.options.Load()
 	if err := l.renewLock(o.Dir); err != nil {
@@ -167,7 +169,8 @@
 	return int64(len(text)), nil
 }
 
-// renewLock locks the directory again if it was replaced: another process may have locked the one that is there now.
+// renewLock locks the directory again if it was replaced. The lock of the old directory does not keep another process from locking
+// the new one.
 func (l *Ledger) renewLock(path string) error {
 	if l.lock == nil || l.lock.IsValid() {
 		return nil
@@ -181,8 +184,8 @@
 	return nil
 }
 
-// nextHeader returns the header of the next segment. The number is used up even if the segment cannot be made, since the name
-// of its file may be taken.
+// nextHeader returns the header of the next segment. The segment's number is not used again even if the segment cannot be created,
+// since a file of that name may exist.
 func (l *Ledger) nextHeader(o *Options) segment.Header {
 	l.mu.Lock()
 	l.segmentNumber++
@@ -196,7 +199,7 @@
 	return header
 }
 
-// writeHeader writes a segment's header, and makes it and the name of the file durable.
+// writeHeader writes a segment's header, and makes the header and the file's name durable.
 func (l *Ledger) writeHeader(file disk.File, text []byte) error {
 	if _, err := file.Write(text); err != nil {
 		return err
