--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -26,9 +26,9 @@
 
 // Entry is one request in the ledger.
 type Entry struct {
-	ledger     *Ledger
-	number     uint64
-	unrecorded bool
+	ledger          *Ledger
+	number          uint64
+	serveUnrecorded bool
 
 	mu          sync.Mutex // guards the fields below
 	attempts    int
@@ -60,7 +60,7 @@
 	defer l.mu.Unlock()
 	reason, retryAfter := l.commit.Ready(time.Now())
 	l.requestCount++
-	e := &Entry{ledger: l, number: l.requestCount, unrecorded: r.Unrecorded}
+	e := &Entry{ledger: l, number: l.requestCount, serveUnrecorded: r.Unrecorded}
 	if reason == "" {
 		record.Request, record.At = e.number, l.elapsed()
 		if _, ok := l.addRecord(&record, false); ok {
@@ -82,9 +82,9 @@
 	endpoint string
 	terms    idempotency.Terms
 
-	mu       sync.Mutex // guards the fields below; locked after the ledger's mutex
-	intended bool
-	ended    bool
+	mu             sync.Mutex // guards the fields below; locked after the ledger's mutex
+	intentRecorded bool
+	ended          bool
 }
 
 // Attempt begins the request's next attempt. Nothing is recorded until Intent is called.
@@ -107,7 +107,7 @@
 	} else {
 		err = l.await(ctx, seq, l.options.Load().Commit.Mode != commit.OSBuffered)
 	}
-	if err == nil || !a.entry.unrecorded || ctx.Err() != nil || errors.Is(err, errAttemptEnded) {
+	if err == nil || !a.entry.serveUnrecorded || ctx.Err() != nil || errors.Is(err, errAttemptEnded) {
 		return err
 	}
 	l.mu.Lock()
@@ -129,7 +129,7 @@
 		return 0, errAttemptEnded
 	}
 	if reason == "" {
-		seq, a.intended = l.addRecord(&segment.Record{
+		seq, a.intentRecorded = l.addRecord(&segment.Record{
 			Kind:      segment.Intent,
 			At:        l.elapsed(),
 			Request:   a.entry.number,
@@ -142,7 +142,7 @@
 			Window:    a.terms.Window,
 			Retention: a.terms.Retention,
 		}, true)
-		if a.intended {
+		if a.intentRecorded {
 			return seq, nil
 		}
 		reason, retryAfter = noRoomReason, l.options.Load().Commit.SlowDiskTime
@@ -174,7 +174,7 @@
 	defer a.mu.Unlock()
 	wasEnded := a.ended
 	a.ended = true
-	if wasEnded || !a.intended {
+	if wasEnded || !a.intentRecorded {
 		return
 	}
 	seq, _ := l.addRecord(&segment.Record{
@@ -220,6 +220,6 @@
 		}
 		l.mu.Lock()
 	}
-	l.lateAnswers++
+	l.lateResponses++
 	l.mu.Unlock()
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -48,7 +48,7 @@
 	lock             *disk.Lock // nil if Options.Disk is set
 	startedAt        time.Time
 	startedSinceBoot time.Duration
-	slept            atomic.Int64   // nanoseconds that the machine was suspended
+	suspendedTime    atomic.Int64   // nanoseconds that the machine was suspended
 	header           segment.Header // header of the next segment, without the fields that differ between segments
 	options          atomic.Pointer[Options]
 
@@ -66,7 +66,7 @@
 	requestCount    uint64
 	unrecorded      segment.Record // counts attempts sent without records since the last such record was added
 	unrecordedCount uint64         // all attempts sent without records
-	lateAnswers     uint64         // responses sent before their record was safe
+	lateResponses   uint64         // responses sent before their record was safe
 	syncCount       uint64
 	syncedRecords   uint64
 	clockShift      time.Duration
@@ -201,7 +201,7 @@
 
 // elapsed returns the time since the ledger started, by a monotonic clock that includes time while the machine was suspended.
 func (l *Ledger) elapsed() time.Duration {
-	return time.Since(l.startedAt) + time.Duration(l.slept.Load())
+	return time.Since(l.startedAt) + time.Duration(l.suspendedTime.Load())
 }
 
 const (
--- a/internal/ledger/maintenance.go
+++ b/internal/ledger/maintenance.go
@@ -74,7 +74,7 @@
 func (l *Ledger) checkClock() {
 	now := time.Now()
 	removed := l.isSegmentRemoved()
-	l.slept.Store(int64(max(l.sinceBoot()-l.startedSinceBoot-now.Sub(l.startedAt), 0)))
+	l.suspendedTime.Store(int64(max(l.sinceBoot()-l.startedSinceBoot-now.Sub(l.startedAt), 0)))
 	at := l.elapsed()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/status.go
+++ b/internal/ledger/status.go
@@ -41,7 +41,7 @@
 		Requests:      l.requestCount,
 		Unrecorded:    l.unrecordedCount,
 		Dropped:       l.commit.Dropped(),
-		LateAnswers:   l.lateAnswers,
+		LateAnswers:   l.lateResponses,
 		Errors:        l.commit.ErrorCount(),
 		Syncs:         l.syncCount,
 		SyncedRecords: l.syncedRecords,
