--- a/internal/ledger/commit/commit_test.go
+++ b/internal/ledger/commit/commit_test.go
@@ -12,69 +12,72 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-func frame(t interface{ Fatal(...any) }, seq uint64, n int) []byte {
-	b, err := segment.AppendFrame(nil, seq, &segment.Record{Kind: segment.Received, ID: strings.Repeat("x", n)})
+// newFrame returns the frame of a record with an ID of idLength bytes.
+func newFrame(t interface{ Fatal(...any) }, seq uint64, idLength int) []byte {
+	encoded, err := segment.AppendFrame(nil, seq, &segment.Record{Kind: segment.Received, ID: strings.Repeat("x", idLength)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return encoded
 }
 
-func numbers(frames []byte) (out []uint64) {
+// sequenceNumbers returns the sequence numbers of consecutive frames.
+func sequenceNumbers(frames []byte) (seqs []uint64) {
 	for len(frames) > 0 {
 		seq, size := segment.FirstFrame(frames)
-		out, frames = append(out, seq), frames[size:]
+		seqs, frames = append(seqs, seq), frames[size:]
 	}
-	return out
+	return seqs
 }
 
-// part is a segment as a disk has it: what was written to it, and how much of that an fsync has made safe.
-type part struct {
+// diskSegmentState is the state of a segment on a simulated disk: the records written to it, and how many of them are durable.
+type diskSegmentState struct {
 	written []uint64
-	safe    int
+	durable int
 }
 
-// Whatever writes, fsyncs and new segments end in what way and order: what is called durable is safe in some segment, in
-// order and without a hole; what is called written is written; nothing is written to a segment after an error in it; each
-// segment keeps to its bound; and once the disk is well again all that was added is made durable.
-func TestAnyTroubles(t *testing.T) {
+// Writes, fsyncs and openings of segments succeed or fail in any order. Each segment has its records in order, and no segment is opened
+// during an fsync of the previous one. Every record up to the reported durable one is durable in some segment, without gaps; in mode
+// OSBuffered it is written. Every record up to the reported written one is written. Once the disk has recovered, all records that were
+// added become durable.
+func TestRecordsStayDurableAfterAnyDiskErrors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		c := Config{Mode: rapid.SampledFrom([]Mode{GroupCommit, EachRecord, OSBuffered}).Draw(t, "mode"), MaxGroupDelay: 3 * time.Millisecond, SlowDiskTime: 10 * time.Millisecond,
+		config := Config{Mode: rapid.SampledFrom([]Mode{GroupCommit, EachRecord, OSBuffered}).Draw(t, "mode"), MaxGroupDelay: 3 * time.Millisecond, SlowDiskTime: 10 * time.Millisecond,
 			SegmentBytes: int64(rapid.IntRange(64, 400).Draw(t, "segment")), MaxPendingBytes: rapid.IntRange(200, 2000).Draw(t, "held")}
-		l := New(c, 1)
-		var parts []*part
-		var writing []uint64 // what is under way
-		var of *part
-		opening, inSync := false, false
-		syncUpTo := 0
+		l := New(config, 1)
+		var segments []*diskSegmentState
+		var writingSeqs []uint64 // sequence numbers of the write in progress
+		var syncedSegment *diskSegmentState
+		opening, syncing := false, false
+		syncedRecords := 0
 		added := map[uint64]bool{}
-		bad := errors.New("bad disk")
-		well := false
+		diskError := errors.New("bad disk")
+		diskRecovered := false
 		step := func(kind string) {
 			err := error(nil)
-			if !well && rapid.IntRange(0, 4).Draw(t, "trouble") == 0 {
-				err = bad
+			if !diskRecovered && rapid.IntRange(0, 4).Draw(t, "trouble") == 0 {
+				err = diskError
 			}
 			switch kind {
 			case "add":
 				seq := l.NextSeq()
-				if l.Add(frame(t, seq, rapid.IntRange(1, 40).Draw(t, "size"))) {
+				if l.Add(newFrame(t, seq, rapid.IntRange(1, 40).Draw(t, "size"))) {
 					added[seq] = true
 				}
 			case "work":
-				if writing != nil || opening {
+				if writingSeqs != nil || opening {
 					return
 				}
-				s, frames, _ := l.NextStep(now)
-				switch s {
+				nextStep, frames, _ := l.NextStep(now)
+				switch nextStep {
 				case OpenSegment:
-					if inSync {
-						t.Fatal("a segment is opened while the one before is synced")
+					if syncing {
+						t.Fatal("a segment is opened during an fsync of the previous one")
 					}
 					opening = true
 				case WriteFrames:
-					writing = numbers(frames)
+					writingSeqs = sequenceNumbers(frames)
 				}
 			case "worked":
 				switch {
@@ -82,33 +85,33 @@
 					opening = false
 					l.SegmentOpened(now, 32, err)
 					if err == nil {
-						parts = append(parts, &part{})
+						segments = append(segments, &diskSegmentState{})
 					}
-				case writing != nil:
-					p := parts[len(parts)-1]
+				case writingSeqs != nil:
+					diskSegment := segments[len(segments)-1]
 					if err == nil {
-						p.written = append(p.written, writing...)
+						diskSegment.written = append(diskSegment.written, writingSeqs...)
 					} else {
-						p.written = append(p.written, writing[:len(writing)/2]...)
+						diskSegment.written = append(diskSegment.written, writingSeqs[:len(writingSeqs)/2]...)
 					}
-					writing = nil
+					writingSeqs = nil
 					l.WriteCompleted(now, err)
 				}
 			case "sync":
-				if inSync || opening {
+				if syncing || opening {
 					return
 				}
 				if due, _ := l.BeginSync(now); due {
-					inSync, of = true, parts[len(parts)-1]
-					syncUpTo = len(of.written)
+					syncing, syncedSegment = true, segments[len(segments)-1]
+					syncedRecords = len(syncedSegment.written)
 				}
 			case "synced":
-				if !inSync {
+				if !syncing {
 					return
 				}
-				inSync = false
+				syncing = false
 				if err == nil {
-					of.safe = max(of.safe, syncUpTo)
+					syncedSegment.durable = max(syncedSegment.durable, syncedRecords)
 				}
 				l.SyncCompleted(now, err)
 			case "time":
@@ -116,70 +119,70 @@
 			}
 		}
 		check := func() {
-			safe, written := map[uint64]bool{}, map[uint64]bool{}
-			for _, p := range parts {
-				if !slices.IsSorted(p.written) {
-					t.Fatalf("out of order: %v", p.written)
+			durable, written := map[uint64]bool{}, map[uint64]bool{}
+			for _, diskSegment := range segments {
+				if !slices.IsSorted(diskSegment.written) {
+					t.Fatalf("records written out of order: %v", diskSegment.written)
 				}
-				for i, seq := range p.written {
+				for i, seq := range diskSegment.written {
 					written[seq] = true
-					safe[seq] = safe[seq] || i < p.safe
+					durable[seq] = durable[seq] || i < diskSegment.durable
 				}
 			}
 			for seq := range added {
-				if seq <= l.Durable() && (c.Mode != OSBuffered && !safe[seq] || !written[seq]) {
-					t.Fatalf("%d is called durable (to %d) and is not", seq, l.Durable())
+				if seq <= l.Durable() && (config.Mode != OSBuffered && !durable[seq] || !written[seq]) {
+					t.Fatalf("record %d is reported durable (up to %d), but is not", seq, l.Durable())
 				}
 				if seq <= l.Written() && !written[seq] {
-					t.Fatalf("%d is called written and is not", seq)
+					t.Fatalf("record %d is reported written, but is not", seq)
 				}
 			}
 			if l.Durable() > l.Written() {
-				t.Fatalf("durable to %d, written to %d", l.Durable(), l.Written())
+				t.Fatalf("durable up to %d, but written only up to %d", l.Durable(), l.Written())
 			}
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			step(rapid.SampledFrom([]string{"add", "add", "work", "worked", "sync", "synced", "time"}).Draw(t, "step"))
 			check()
 		}
-		well = true
+		diskRecovered = true
 		l.BeginClose()
 		for range 400 {
-			for _, s := range []string{"work", "worked", "sync", "synced", "time"} {
-				step(s)
+			for _, kind := range []string{"work", "worked", "sync", "synced", "time"} {
+				step(kind)
 			}
 		}
 		check()
-		var most uint64
+		var lastAdded uint64
 		for seq := range added {
-			most = max(most, seq)
+			lastAdded = max(lastAdded, seq)
 		}
-		if l.Written() < most || l.Durable() < most || !l.IsDone() && len(parts) > 0 {
-			t.Fatalf("well again: durable to %d of %d, done %v", l.Durable(), most, l.IsDone())
+		if l.Written() < lastAdded || l.Durable() < lastAdded || !l.IsDone() && len(segments) > 0 {
+			t.Fatalf("after the disk recovered: durable up to %d, want %d; done: %v", l.Durable(), lastAdded, l.IsDone())
 		}
-		if why, _ := l.Ready(now); why != "" {
-			t.Fatalf("well again: %s", why)
+		if reason, _ := l.Ready(now); reason != "" {
+			t.Fatalf("after the disk recovered: not ready: %s", reason)
 		}
 	})
 }
 
-// The times: an fsync waits a quarter of what the last one took, and for Gather at the most; a disk that takes longer than the
-// patience is not counted on; after errors a new segment is tried later and later.
-func TestTimes(t *testing.T) {
+// An fsync is delayed by a quarter of the duration of the last one, up to MaxGroupDelay. During an operation that takes longer than
+// SlowDiskTime, the log is not ready. After repeated errors, a new segment is opened after increasing delays.
+func TestSyncDelayAndSegmentRetryBackoff(t *testing.T) {
 	ms := time.Millisecond
 	now := time.Unix(1000, 0)
 	l := New(Config{Mode: GroupCommit, MaxGroupDelay: 3 * ms, SlowDiskTime: 10 * ms, SegmentBytes: 1 << 20, MaxPendingBytes: 1 << 20}, 1)
 	open := func() {
 		t.Helper()
-		if s, _, _ := l.NextStep(now); s != OpenSegment {
-			t.Fatal("no segment is wanted")
+		if step, _, _ := l.NextStep(now); step != OpenSegment {
+			t.Fatal("NextStep: want OpenSegment")
 		}
 	}
 	write := func() {
 		t.Helper()
-		l.Add(frame(t, l.NextSeq(), 20))
-		if s, _, _ := l.NextStep(now); s != WriteFrames {
-			t.Fatal("nothing is written")
+		l.Add(newFrame(t, l.NextSeq(), 20))
+		if step, _, _ := l.NextStep(now); step != WriteFrames {
+			t.Fatal("NextStep: want WriteFrames")
 		}
 		l.WriteCompleted(now, nil)
 	}
@@ -188,17 +191,17 @@
 	write()
 	for _, c := range []struct{ took, waits time.Duration }{{4 * ms, ms}, {20 * ms, 3 * ms}, {0, 0}} {
 		if due, _ := l.BeginSync(now); !due {
-			t.Fatal("an fsync waits on an idle disk")
+			t.Fatal("BeginSync: want an fsync without a delay on an idle disk")
 		}
 		now = now.Add(c.took)
-		if why, back := l.Ready(now); (why != "") != (c.took > 10*ms) || why != "" && back <= 0 {
-			t.Errorf("after %v: %q, %v", c.took, why, back)
+		if reason, retryAfter := l.Ready(now); (reason != "") != (c.took > 10*ms) || reason != "" && retryAfter <= 0 {
+			t.Errorf("after %v of an fsync: unexpected readiness: reason %q, retry after %v", c.took, reason, retryAfter)
 		}
 		l.SyncCompleted(now, nil)
 		write()
 		due, until := l.BeginSync(now)
 		if c.waits > 0 && (due || until != now.Add(c.waits)) {
-			t.Errorf("after %v the next waits until %v", c.took, until.Sub(now))
+			t.Errorf("after an fsync of %v the next one is delayed by %v", c.took, until.Sub(now))
 		}
 		if now = now.Add(c.waits); due {
 			l.SyncCompleted(now, nil)
@@ -206,13 +209,13 @@
 		}
 	}
 	l.ReportFailure(now, errors.New("gone"))
-	last := time.Duration(0)
+	lastWait := time.Duration(0)
 	for range 10 {
 		_, _, until := l.NextStep(now)
-		if wait := until.Sub(now); wait < last || wait > maxRetryDelay || wait < minRetryDelay {
-			t.Errorf("after %v a new segment is tried after %v", last, wait)
+		if wait := until.Sub(now); wait < lastWait || wait > maxRetryDelay || wait < minRetryDelay {
+			t.Errorf("after a delay of %v the next segment is opened after %v", lastWait, wait)
 		} else {
-			last = wait
+			lastWait = wait
 		}
 		now = until
 		open()
@@ -220,24 +223,24 @@
 	}
 }
 
-func TestKeeping(t *testing.T) {
+func TestExpiredSegmentsByAgeSizeAndMinAge(t *testing.T) {
 	now := time.Unix(1e6, 0)
-	k := Retention{MaxAge: time.Hour, MaxBytes: 250, MinAge: 10 * time.Minute}
-	seg := func(n uint64, age time.Duration) Segment { return Segment{n, 100, now.Add(-age)} }
+	retention := Retention{MaxAge: time.Hour, MaxBytes: 250, MinAge: 10 * time.Minute}
+	segmentOfAge := func(number uint64, age time.Duration) Segment { return Segment{number, 100, now.Add(-age)} }
 	for _, c := range []struct {
-		all  []Segment
-		out  []uint64
-		over bool
+		all     []Segment
+		expired []uint64
+		over    bool
 	}{
 		{nil, nil, false},
-		{[]Segment{seg(1, 59*time.Minute), seg(2, time.Minute)}, nil, false},
-		{[]Segment{seg(1, time.Hour), seg(2, time.Minute)}, []uint64{1}, false},
-		{[]Segment{seg(1, 30*time.Minute), seg(2, 20*time.Minute), seg(3, 0)}, []uint64{1}, false},
-		{[]Segment{seg(1, 9*time.Minute), seg(2, 2*time.Minute), seg(3, 0)}, nil, true}, // keys need them
-		{[]Segment{seg(1, time.Minute), seg(2, 2*time.Hour), seg(3, 0)}, nil, true},     // no holes
+		{[]Segment{segmentOfAge(1, 59*time.Minute), segmentOfAge(2, time.Minute)}, nil, false},
+		{[]Segment{segmentOfAge(1, time.Hour), segmentOfAge(2, time.Minute)}, []uint64{1}, false},
+		{[]Segment{segmentOfAge(1, 30*time.Minute), segmentOfAge(2, 20*time.Minute), segmentOfAge(3, 0)}, []uint64{1}, false},
+		{[]Segment{segmentOfAge(1, 9*time.Minute), segmentOfAge(2, 2*time.Minute), segmentOfAge(3, 0)}, nil, true}, // younger than MinAge
+		{[]Segment{segmentOfAge(1, time.Minute), segmentOfAge(2, 2*time.Hour), segmentOfAge(3, 0)}, nil, true},     // the log must not have gaps
 	} {
-		if out, over := k.Expired(now, c.all); !slices.Equal(out, c.out) || over != c.over {
-			t.Errorf("%v: %v, %v", c.all, out, over)
+		if expired, over := retention.Expired(now, c.all); !slices.Equal(expired, c.expired) || over != c.over {
+			t.Errorf("segments %v: expired %v, over the maximum size: %v", c.all, expired, over)
 		}
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -26,13 +26,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func options(d disk.Disk) Options {
+func testOptions(d disk.Disk) Options {
 	return Options{Disk: d, BootID: "boot 1", MaxKeys: 1 << 12, Log: slog.New(slog.DiscardHandler), MaxClockError: time.Second,
 		Commit:    commit.Config{Mode: commit.GroupCommit, MaxGroupDelay: 200 * time.Microsecond, SlowDiskTime: lbtest.Wait, SegmentBytes: 16 << 10, MaxPendingBytes: 1 << 20},
 		Retention: commit.Retention{MaxAge: time.Hour, MaxBytes: 1 << 30, MinAge: 2 * time.Minute}}
 }
 
-func start(t *testing.T, o Options) *Ledger {
+func startLedger(t *testing.T, o Options) *Ledger {
 	t.Helper()
 	l, err := Start(o)
 	if err != nil {
@@ -44,54 +44,57 @@
 
 var terms = idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}
 
-func request(id string) Request {
+func testRequest(id string) Request {
 	return Request{ID: id, Class: "seat", Tenant: "school", Key: "key " + id, KeyID: idempotency.KeyIDOf("school", "key "+id), TimeLeft: time.Minute}
 }
 
-// read reads a log and returns its requests by their ids.
-func read(t *testing.T, d disk.Disk) (map[string]*requesthistory.Request, *Report) {
+// readLog reads a log, and returns its requests by ID. It fails the test if a known request is returned twice.
+func readLog(t *testing.T, d disk.Disk) (map[string]*requesthistory.Request, *Report) {
 	t.Helper()
-	out := map[string]*requesthistory.Request{}
-	r, err := Read(d, false, func(q *requesthistory.Request) {
-		if q.Known && out[q.ID] != nil {
-			t.Errorf("%s is given twice", q.ID)
+	requests := map[string]*requesthistory.Request{}
+	report, err := Read(d, false, func(request *requesthistory.Request) {
+		if request.Known && requests[request.ID] != nil {
+			t.Errorf("Read returned request %s twice", request.ID)
 		}
-		out[q.ID] = q
+		requests[request.ID] = request
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out, r
+	return requests, report
 }
 
-// truth is what callers and nodos have seen of requests, whatever the ledger says.
-type truth struct {
-	mu  sync.Mutex
-	all map[string]*seen
+// requestTracker records what clients and endpoints observe of each request, independently of the ledger.
+type requestTracker struct {
+	mu   sync.Mutex
+	byID map[string]*observation
 }
 
-type seen struct {
-	took     bool
-	sent     map[string]int // attempts that went out, by nodo
-	ran      bool           // a nodo's answer has come
-	never    int            // attempts that a nodo is known to have turned away
-	answered segment.Ending
+// observation is what was observed of one request.
+type observation struct {
+	accepted         bool
+	sentByEndpoint   map[string]int // attempts sent, by endpoint
+	responded        bool           // an endpoint has responded
+	rejectedAttempts int            // attempts that an endpoint has rejected without executing them
+	ending           segment.Ending
 }
 
-func (w *truth) see(id string, f func(*seen)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.all[id]
-	if s == nil {
-		s = &seen{sent: map[string]int{}}
-		w.all[id] = s
-	}
-	f(s)
+// update applies a change to a request's observation.
+func (tracker *requestTracker) update(id string, change func(*observation)) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	observed := tracker.byID[id]
+	if observed == nil {
+		observed = &observation{sentByEndpoint: map[string]int{}}
+		tracker.byID[id] = observed
+	}
+	change(observed)
 }
 
-// burst makes requests of all fates, until stop is closed.
-func (w *truth) burst(l *Ledger, caller int, stop chan struct{}) {
-	r := rand.New(rand.NewPCG(1, uint64(caller)))
+// sendRequests sends requests with random outcomes through the ledger until stop is closed: rejected
+// attempts, timeouts and responses.
+func (tracker *requestTracker) sendRequests(l *Ledger, client int, stop chan struct{}) {
+	random := rand.New(rand.NewPCG(1, uint64(client)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := 0; ; i++ {
@@ -100,223 +103,227 @@
 			return
 		default:
 		}
-		id := fmt.Sprintf("%d-%d", caller, i)
-		e, err := l.Begin(request(id))
+		id := fmt.Sprintf("%d-%d", client, i)
+		e, err := l.Begin(testRequest(id))
 		if err != nil {
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		w.see(id, func(s *seen) { s.took = true })
+		tracker.update(id, func(observed *observation) { observed.accepted = true })
 		ending := segment.Failed
-		for try := range 1 + r.IntN(3) {
-			nodo := fmt.Sprint("n", r.IntN(4))
-			a := e.Attempt(nodo, terms)
+		for attempt := range 1 + random.IntN(3) {
+			endpoint := fmt.Sprint("n", random.IntN(4))
+			a := e.Attempt(endpoint, terms)
 			if err := a.Intent(ctx, idempotency.Place{Cluster: "c", Zone: "z"}); err != nil {
 				a.Ended(lbpolicy.NotSent, 0)
 				ending = segment.Rejected
 				break
 			}
-			w.see(id, func(s *seen) { s.sent[nodo]++ })
-			switch fate := r.IntN(4); {
-			case fate == 0 && try < 2:
-				w.see(id, func(s *seen) { s.never++ })
+			tracker.update(id, func(observed *observation) { observed.sentByEndpoint[endpoint]++ })
+			switch outcome := random.IntN(4); {
+			case outcome == 0 && attempt < 2:
+				tracker.update(id, func(observed *observation) { observed.rejectedAttempts++ })
 				a.Ended(lbpolicy.ServerFull, 503)
 				continue
-			case fate == 1:
+			case outcome == 1:
 				a.Ended(lbpolicy.Timeout, 0)
 			default:
-				w.see(id, func(s *seen) { s.ran = true })
+				tracker.update(id, func(observed *observation) { observed.responded = true })
 				a.Ended(lbpolicy.OK, 200)
 				ending = segment.Served
 			}
 			break
 		}
 		e.Finish(ending, 200)
-		w.see(id, func(s *seen) { s.answered = ending })
+		tracker.update(id, func(observed *observation) { observed.ending = ending })
 	}
 }
 
-// snapshot takes a copy of the disk and of the truth at one moment.
-func (w *truth) snapshot(take func() *fake.Disk) (*fake.Disk, map[string]seen) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := map[string]seen{}
-	for id, s := range w.all {
-		c := *s
-		c.sent = map[string]int{}
-		for n, k := range s.sent {
-			c.sent[n] = k
-		}
-		out[id] = c
-	}
-	return take(), out
+// snapshot copies the disk and the observations at the same moment.
+func (tracker *requestTracker) snapshot(copyDisk func() *fake.Disk) (*fake.Disk, map[string]observation) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	observations := map[string]observation{}
+	for id, observed := range tracker.byID {
+		observedCopy := *observed
+		observedCopy.sentByEndpoint = map[string]int{}
+		for endpoint, count := range observed.sentByEndpoint {
+			observedCopy.sentByEndpoint[endpoint] = count
+		}
+		observations[id] = observedCopy
+	}
+	return copyDisk(), observations
 }
 
-// against compares an account with the truth. Exact: all that was known before the moment is in the account, but for the
-// last refusal or failure of each caller, as such an answer waits for no record.
-func against(is map[string]*requesthistory.Request, was map[string]seen, exact bool) (faults []string) {
-	fault := func(f string, args ...any) { faults = append(faults, fmt.Sprintf(f, args...)) }
-	latest := map[int]int{}
-	for id, s := range was {
-		var caller, n int
-		if fmt.Sscanf(id, "%d-%d", &caller, &n); len(s.sent) > 0 { // all records before its intent are safe
-			latest[caller] = max(latest[caller], n)
-		}
-	}
-	for id, s := range was {
-		var caller, n int
-		fmt.Sscanf(id, "%d-%d", &caller, &n)
-		q := is[id]
-		if q == nil {
-			if len(s.sent) > 0 {
-				fault("%s reached %v and is missing", id, s.sent)
+// compareWithObservations compares the requests read from a log with the observations, and returns the differences. Exact means that
+// the log must contain everything observed before the crash. The one exception is the last rejection or failure of each client, as
+// such an answer does not wait for its record.
+func compareWithObservations(recovered map[string]*requesthistory.Request, observations map[string]observation, exact bool) (mismatches []string) {
+	mismatch := func(format string, args ...any) { mismatches = append(mismatches, fmt.Sprintf(format, args...)) }
+	latestSent := map[int]int{}
+	for id, observed := range observations {
+		var client, n int
+		if fmt.Sscanf(id, "%d-%d", &client, &n); len(observed.sentByEndpoint) > 0 { // all records before the intent of a sent attempt are safe
+			latestSent[client] = max(latestSent[client], n)
+		}
+	}
+	for id, observed := range observations {
+		var client, n int
+		fmt.Sscanf(id, "%d-%d", &client, &n)
+		request := recovered[id]
+		if request == nil {
+			if len(observed.sentByEndpoint) > 0 {
+				mismatch("request %s: sent to %v, but not in the log", id, observed.sentByEndpoint)
 			}
 			continue
 		}
-		intended := map[string]int{}
-		for _, a := range q.Attempts {
+		intents := map[string]int{}
+		for _, a := range request.Attempts {
 			if a.Intended {
-				intended[a.Endpoint]++
+				intents[a.Endpoint]++
 			}
 		}
-		for nodo, n := range s.sent {
-			if intended[nodo] < n {
-				fault("%s reached %s %d times, told are %d", id, nodo, n, intended[nodo])
+		for endpoint, n := range observed.sentByEndpoint {
+			if intents[endpoint] < n {
+				mismatch("request %s: endpoint %s received %d attempts, the log has %d intents", id, endpoint, n, intents[endpoint])
 			}
 		}
 		sent := 0
-		for _, n := range s.sent {
+		for _, n := range observed.sentByEndpoint {
 			sent += n
 		}
-		v := q.Verdict()
-		if (v == requesthistory.NeverRan || v == requesthistory.Rejected) && sent > s.never {
-			fault("%s may have run and is called %v", id, v)
+		verdict := request.Verdict()
+		if (verdict == requesthistory.NeverRan || verdict == requesthistory.Rejected) && sent > observed.rejectedAttempts {
+			mismatch("request %s: may have run, but the verdict is %v", id, verdict)
 		}
-		if exact && s.answered == segment.Served && v != requesthistory.Served && v != requesthistory.Executed {
-			fault("%s was served and is called %v", id, v)
+		if exact && observed.ending == segment.Served && verdict != requesthistory.Served && verdict != requesthistory.Executed {
+			mismatch("request %s: was served, but the verdict is %v", id, verdict)
 		}
-		if exact && n < latest[caller] && s.answered != 0 && s.answered != segment.Served && v == requesthistory.MayHaveRun && sent == s.never {
-			fault("%s never ran and is called %v", id, v)
+		if exact && n < latestSent[client] && observed.ending != 0 && observed.ending != segment.Served && verdict == requesthistory.MayHaveRun && sent == observed.rejectedAttempts {
+			mismatch("request %s: never ran, but the verdict is %v", id, verdict)
 		}
 	}
-	for id, q := range is {
-		if v := q.Verdict(); (v == requesthistory.Served || v == requesthistory.Executed) && !was[id].ran {
-			// The nodo's answer can have come between its sight and the snapshot only the other way round.
-			fault("%s is called %v, and nobody saw it run", id, v)
+	for id, request := range recovered {
+		if verdict := request.Verdict(); (verdict == requesthistory.Served || verdict == requesthistory.Executed) && !observations[id].responded {
+			// A response is observed before it is recorded, so a snapshot never has the record without the observation.
+			mismatch("request %s: the verdict is %v, but no endpoint responded", id, verdict)
 		}
 	}
-	return faults
+	return mismatches
 }
 
-// crashed plays a burst of so many callers and requests up to a crash, and returns what is left and what was seen.
-func crashed(t *testing.T, r *rand.Rand, mode commit.Mode, callers, most int, lies, machine bool) (after *fake.Disk, was map[string]seen) {
+// runUntilCrash has clients send requests concurrently until more than minRequests have begun, and simulates a crash. It returns the
+// disk after the crash and the observations up to it. With ignoreSyncs, fsyncs of the disk have no effect. With powerLoss, writes since
+// the last fsync may be lost; otherwise only the process is killed.
+func runUntilCrash(t *testing.T, random *rand.Rand, mode commit.Mode, clients, minRequests int, ignoreSyncs, powerLoss bool) (crashedDisk *fake.Disk, observations map[string]observation) {
 	t.Helper()
 	d := fake.NewDisk(-1)
-	o := options(d)
+	o := testOptions(d)
 	o.Commit.Mode = mode
 	l, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if lies {
+	if ignoreSyncs {
 		d.IgnoreSyncs()
 	}
-	w := &truth{all: map[string]*seen{}}
+	tracker := &requestTracker{byID: map[string]*observation{}}
 	stop := make(chan struct{})
-	var crowd sync.WaitGroup
-	for i := range callers {
-		crowd.Go(func() { w.burst(l, i, stop) })
+	var running sync.WaitGroup
+	for client := range clients {
+		running.Go(func() { tracker.sendRequests(l, client, stop) })
 	}
-	lbtest.Until(t, "requests", func() bool { return l.Status().Requests > uint64(most) })
-	after, was = w.snapshot(func() *fake.Disk {
-		if machine {
-			return d.AfterPowerLoss(r)
+	lbtest.Until(t, "enough requests have begun", func() bool { return l.Status().Requests > uint64(minRequests) })
+	crashedDisk, observations = tracker.snapshot(func() *fake.Disk {
+		if powerLoss {
+			return d.AfterPowerLoss(random)
 		}
 		return d.AfterKill()
 	})
 	close(stop)
-	crowd.Wait()
-	return after, was
+	running.Wait()
+	return crashedDisk, observations
 }
 
-// played plays a burst up to a crash, and returns what the account of what is left has against the truth.
-func played(t *testing.T, round int, mode commit.Mode, machine bool) []string {
+// crashAndCompare simulates a crash under load and a restart, and returns the differences between the log and the observations.
+func crashAndCompare(t *testing.T, round int, mode commit.Mode, powerLoss bool) []string {
 	t.Helper()
-	r := rand.New(rand.NewPCG(7, uint64(round)))
-	after, was := crashed(t, r, mode, 8, 50+r.IntN(500), false, machine) // over several segments
-	// The process that comes after it dies in its turn, while it reads or just after: the account stays the same.
-	before, _ := read(t, after)
-	next, err := Start(options(after))
+	random := rand.New(rand.NewPCG(7, uint64(round)))
+	crashedDisk, observations := runUntilCrash(t, random, mode, 8, 50+random.IntN(500), false, powerLoss) // over several segments
+	// A restarted process that ends just after it has read the log does not change the verdicts.
+	firstRead, _ := readLog(t, crashedDisk)
+	restarted, err := Start(testOptions(crashedDisk))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.Close()
-	is, _ := read(t, after)
-	if len(is) != len(before) {
-		t.Errorf("%d requests, %d after a restart", len(before), len(is))
+	restarted.Close()
+	recovered, _ := readLog(t, crashedDisk)
+	if len(recovered) != len(firstRead) {
+		t.Errorf("%d requests in the log before a restart, %d after it", len(firstRead), len(recovered))
 	}
-	for id, q := range before {
-		if is[id] == nil || is[id].Verdict() != q.Verdict() {
-			t.Errorf("%s: %v before a restart", id, q.Verdict())
+	for id, request := range firstRead {
+		if recovered[id] == nil || recovered[id].Verdict() != request.Verdict() {
+			t.Errorf("request %s: the verdict %v from before the restart is missing or different", id, request.Verdict())
 		}
 	}
-	// Every attempt that may have run is known to the next process's rules.
-	for id, s := range was {
-		if k, _, ok := next.RecoveredKey(time.Now(), idempotency.KeyIDOf("school", "key "+id)); s.ran && (!ok || k.KeyState.Place.Zone != "z") {
-			t.Errorf("%s ran, and the next process knows nothing of its key", id)
+	// The restarted process knows the key of every request that has run.
+	for id, observed := range observations {
+		if record, _, ok := restarted.RecoveredKey(time.Now(), idempotency.KeyIDOf("school", "key "+id)); observed.responded && (!ok || record.KeyState.Place.Zone != "z") {
+			t.Errorf("request %s ran, but the restarted process does not know its key", id)
 		}
 	}
-	return against(is, was, !machine || mode == commit.EachRecord)
+	return compareWithObservations(recovered, observations, !powerLoss || mode == commit.EachRecord)
 }
 
-// After the process is killed, or the machine lost with any part of what was not made safe, the account agrees with what
-// nodos and callers have seen, in each mode as far as it promises.
-func TestCrash(t *testing.T) {
+// After the process is killed, or the machine loses power with any part of the writes since the last fsync, the log agrees with what
+// endpoints and clients have observed, as far as each commit mode guarantees it.
+func TestCrashRecoveryMatchesObservations(t *testing.T) {
 	for round := range 12 {
 		for _, c := range []struct {
-			mode    commit.Mode
-			machine bool
+			mode      commit.Mode
+			powerLoss bool
 		}{{commit.GroupCommit, false}, {commit.GroupCommit, true}, {commit.EachRecord, true}, {commit.OSBuffered, false}} {
-			if faults := played(t, round, c.mode, c.machine); len(faults) > 0 {
-				t.Errorf("%v, machine lost: %v: %d faults, such as %s", c.mode, c.machine, len(faults), faults[0])
+			if mismatches := crashAndCompare(t, round, c.mode, c.powerLoss); len(mismatches) > 0 {
+				t.Errorf("mode %v, power loss %v: %d differences from the observations, first: %s", c.mode, c.powerLoss, len(mismatches), mismatches[0])
 			}
 		}
 	}
 }
 
-// unsound tells what of a log is not sound.
-func unsound(r *Report) string {
-	text := fmt.Sprintf("losses %+v", r.Losses)
-	for _, f := range r.Files {
+// describeDamage describes the losses, skipped files and damage of a log.
+func describeDamage(report *Report) string {
+	text := fmt.Sprintf("losses: %+v", report.Losses)
+	for _, f := range report.Files {
 		if f.SkipReason != "" || len(f.Damage) > 0 {
-			text += fmt.Sprintf("; %s of %d bytes from %d: %q, torn %v, %+v, safe to %d", f.Name, f.Bytes, f.Header.FirstSeq, f.SkipReason, f.Torn, f.Damage, r.Incarnations[len(r.Incarnations)-1].DurableTo)
+			text += fmt.Sprintf("; %s of %d bytes, first record %d: skip reason %q, torn %v, damage %+v, durable up to %d", f.Name, f.Bytes, f.Header.FirstSeq, f.SkipReason, f.Torn, f.Damage, report.Incarnations[len(report.Incarnations)-1].DurableTo)
 		}
 	}
 	return text
 }
 
-// The process is killed, or the machine lost, after every single change of the disk, and the process after it again after every
-// change that it makes as it starts: each time the account agrees with what was seen, and a third process starts.
-func TestCrashAtEachStep(t *testing.T) {
+// The process is killed, or the machine loses power, after every single change of the disk. For every fifth of these crashes, a second
+// process crashes after every change that it makes while it starts and closes. Each time the log agrees with the observations, and
+// another process can start.
+func TestCrashAfterEachDiskChangeIsRecovered(t *testing.T) {
 	d := fake.NewDisk(-1)
-	o := options(d)
-	o.Commit.SegmentBytes = 700 // a few requests
-	w := &truth{all: map[string]*seen{}}
-	type moment struct {
-		disk *fake.Disk
-		was  map[string]seen
-		kill bool
-	}
-	var moments []moment
-	var mu sync.Mutex // what writes and what syncs change the disk beside each other
-	r := rand.New(rand.NewPCG(9, 9))
+	o := testOptions(d)
+	o.Commit.SegmentBytes = 700 // bytes: room for a few requests
+	tracker := &requestTracker{byID: map[string]*observation{}}
+	type crashPoint struct {
+		disk         *fake.Disk
+		observations map[string]observation
+		killed       bool
+	}
+	var crashPoints []crashPoint
+	var mu sync.Mutex // the writing and the syncing goroutine change the disk concurrently
+	random := rand.New(rand.NewPCG(9, 9))
 	d.OnChange(func(d *fake.Disk) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, take := range []func() *fake.Disk{d.AfterKill, func() *fake.Disk { return d.AfterPowerLoss(r) }} {
-			after, was := w.snapshot(take)
-			moments = append(moments, moment{after, was, len(moments)%2 == 0})
+		for _, crash := range []func() *fake.Disk{d.AfterKill, func() *fake.Disk { return d.AfterPowerLoss(random) }} {
+			crashedDisk, observations := tracker.snapshot(crash)
+			crashPoints = append(crashPoints, crashPoint{crashedDisk, observations, len(crashPoints)%2 == 0})
 		}
 	})
 	l, err := Start(o)
@@ -324,66 +331,66 @@
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
-	ended := make(chan struct{})
-	go func() { w.burst(l, 0, stop); close(ended) }()
-	lbtest.Until(t, "requests", func() bool { return l.Status().Requests > 12 })
+	clientDone := make(chan struct{})
+	go func() { tracker.sendRequests(l, 0, stop); close(clientDone) }()
+	lbtest.Until(t, "more than 12 requests have begun", func() bool { return l.Status().Requests > 12 })
 	close(stop)
-	<-ended
+	<-clientDone
 	l.Close()
 	d.OnChange(nil)
-	if len(moments) < 100 || l.Status().Segments < 4 {
-		t.Fatalf("%d moments, %d segments", len(moments), l.Status().Segments)
+	if len(crashPoints) < 100 || l.Status().Segments < 4 {
+		t.Fatalf("%d crash points and %d segments, want at least 100 and 4", len(crashPoints), l.Status().Segments)
 	}
-	again := 0
-	for i, m := range moments {
-		if is, report := read(t, m.disk); !report.IsSound() {
-			t.Errorf("%d: %s", i, unsound(report))
-		} else if faults := against(is, m.was, m.kill); len(faults) > 0 {
-			t.Fatalf("%d (killed %v): %v", i, m.kill, faults)
+	secondCrashes := 0
+	for i, point := range crashPoints {
+		if recovered, report := readLog(t, point.disk); !report.IsSound() {
+			t.Errorf("crash point %d: log damaged: %s", i, describeDamage(report))
+		} else if mismatches := compareWithObservations(recovered, point.observations, point.killed); len(mismatches) > 0 {
+			t.Fatalf("crash point %d (process killed: %v): %v", i, point.killed, mismatches)
 		}
 		if i%5 != 0 {
 			continue
 		}
-		var twice []*fake.Disk
-		m.disk.OnChange(func(d *fake.Disk) {
+		var secondDisks []*fake.Disk
+		point.disk.OnChange(func(d *fake.Disk) {
 			mu.Lock()
 			defer mu.Unlock()
-			twice = append(twice, d.AfterKill(), d.AfterPowerLoss(r))
+			secondDisks = append(secondDisks, d.AfterKill(), d.AfterPowerLoss(random))
 		})
-		next, err := Start(options(m.disk))
+		restarted, err := Start(testOptions(point.disk))
 		if err != nil {
-			t.Fatalf("%d: %v", i, err)
-		}
-		next.Close()
-		m.disk.OnChange(nil)
-		for j, d := range twice {
-			is, report := read(t, d)
-			if faults := against(is, m.was, m.kill); len(faults) > 0 || !report.IsSound() {
-				t.Fatalf("%d, %d: %v %s", i, j, faults, unsound(report))
+			t.Fatalf("crash point %d: restart failed: %v", i, err)
+		}
+		restarted.Close()
+		point.disk.OnChange(nil)
+		for j, d := range secondDisks {
+			recovered, report := readLog(t, d)
+			if mismatches := compareWithObservations(recovered, point.observations, point.killed); len(mismatches) > 0 || !report.IsSound() {
+				t.Fatalf("crash point %d, second crash %d: differences %v; %s", i, j, mismatches, describeDamage(report))
 			}
-			if third, err := Start(options(d)); err != nil {
-				t.Fatalf("%d, %d: %v", i, j, err)
+			if third, err := Start(testOptions(d)); err != nil {
+				t.Fatalf("crash point %d, second crash %d: restart failed: %v", i, j, err)
 			} else if third.Close(); third.IsUncertain(time.Now()) {
-				t.Errorf("%d, %d: doubt without a loss", i, j)
+				t.Errorf("crash point %d, second crash %d: keys are uncertain although no record is lost", i, j)
 			}
-			again++
+			secondCrashes++
 		}
 	}
-	t.Logf("%d moments, %d of a second crash", len(moments), again)
+	t.Logf("%d crash points, %d second crashes", len(crashPoints), secondCrashes)
 }
 
-// A log of a few requests, cut at every byte or with a bit flipped in every byte: nothing is called served that was not, nothing
-// is said not to have run that may have, and the reader never fails.
-func TestCutAndFlipped(t *testing.T) {
+// A log of three requests is truncated at every byte, or has a bit flipped in every byte. No request that was not served gets a verdict
+// that it ran. After a flipped bit, no request that may have run gets a verdict that it never ran. Reading never fails.
+func TestTruncatedOrCorruptSegmentGivesNoFalseVerdict(t *testing.T) {
 	d := fake.NewDisk(-1)
-	o := options(d)
+	o := testOptions(d)
 	o.Commit.SegmentBytes = 1024
 	l, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, fate := range []lbpolicy.Verdict{lbpolicy.OK, lbpolicy.Timeout, lbpolicy.ServerFull} {
-		e, err := l.Begin(request(fmt.Sprint(i)))
+	for i, outcome := range []lbpolicy.Verdict{lbpolicy.OK, lbpolicy.Timeout, lbpolicy.ServerFull} {
+		e, err := l.Begin(testRequest(fmt.Sprint(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -391,25 +398,25 @@
 		if err := a.Intent(context.Background(), idempotency.Place{Zone: "z"}); err != nil {
 			t.Fatal(err)
 		}
-		a.Ended(fate, 200)
-		e.Finish(map[lbpolicy.Verdict]segment.Ending{lbpolicy.OK: segment.Served, lbpolicy.Timeout: segment.Failed, lbpolicy.ServerFull: segment.Rejected}[fate], 200)
+		a.Ended(outcome, 200)
+		e.Finish(map[lbpolicy.Verdict]segment.Ending{lbpolicy.OK: segment.Served, lbpolicy.Timeout: segment.Failed, lbpolicy.ServerFull: segment.Rejected}[outcome], 200)
 	}
 	l.Close()
 	names, _ := d.List()
 	for _, name := range names {
-		whole := d.Bytes(name)
-		for i := range whole {
-			for what, b := range map[string][]byte{"cut": whole[:i], "flipped": append(append(append([]byte{}, whole[:i]...), whole[i]^1<<(i%8)), whole[i+1:]...)} {
-				after := d.AfterKill()
-				after.Change(name, func([]byte) []byte { return b })
-				is, _ := read(t, after)
-				for id, q := range is {
-					v := q.Verdict()
-					if (v == requesthistory.Served || v == requesthistory.Executed) && id != "0" && id != "" {
-						t.Errorf("%s of %s at %d: %s is called %v", what, name, i, id, v)
+		original := d.Bytes(name)
+		for i := range original {
+			for damage, content := range map[string][]byte{"cut": original[:i], "flipped": append(append(append([]byte{}, original[:i]...), original[i]^1<<(i%8)), original[i+1:]...)} {
+				damagedDisk := d.AfterKill()
+				damagedDisk.Change(name, func([]byte) []byte { return content })
+				recovered, _ := readLog(t, damagedDisk)
+				for id, request := range recovered {
+					verdict := request.Verdict()
+					if (verdict == requesthistory.Served || verdict == requesthistory.Executed) && id != "0" && id != "" {
+						t.Errorf("%s of %s at %d: %s is called %v", damage, name, i, id, verdict)
 					}
-					if (v == requesthistory.NeverRan || v == requesthistory.Rejected) && (id == "0" || id == "1") && what == "flipped" {
-						t.Errorf("%s of %s at %d: %s is called %v", what, name, i, id, v)
+					if (verdict == requesthistory.NeverRan || verdict == requesthistory.Rejected) && (id == "0" || id == "1") && damage == "flipped" {
+						t.Errorf("%s of %s at %d: %s is called %v", damage, name, i, id, verdict)
 					}
 				}
 			}
@@ -417,24 +424,25 @@
 	}
 }
 
-// The same check finds a disk whose fsync does nothing.
-func TestCrashFindsMissingSync(t *testing.T) {
+// The comparison that the crash tests use detects a disk whose fsync does nothing.
+func TestIgnoredSyncIsDetectedAfterPowerLoss(t *testing.T) {
 	for round := range 20 {
-		after, was := crashed(t, rand.New(rand.NewPCG(8, uint64(round))), commit.GroupCommit, 1, 100, true, true)
-		if is, _ := read(t, after); len(against(is, was, false)) > 0 {
+		crashedDisk, observations := runUntilCrash(t, rand.New(rand.NewPCG(8, uint64(round))), commit.GroupCommit, 1, 100, true, true)
+		if recovered, _ := readLog(t, crashedDisk); len(compareWithObservations(recovered, observations, false)) > 0 {
 			return
 		}
 	}
-	t.Error("not found")
+	t.Error("no difference found in 20 power losses of a disk that ignores fsyncs")
 }
 
-// A disk that fills up, fails or hangs has requests refused at once and nothing sent; it is used again by itself, what was
-// recorded before is still told, and a segment whose fsync failed is not trusted.
-func TestDiskTroubles(t *testing.T) {
+// While a disk is full, fails or hangs, requests are rejected and no attempt is sent. Once the fault is over, requests are recorded
+// again without a restart, and the records from before the fault are still there. A segment whose fsync failed is not trusted. Requests
+// that may go unrecorded are served and counted.
+func TestDiskFaultRejectsRequestsUntilItClears(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range []struct {
-		name string
-		on   func(*fake.Disk) (off func())
+		name   string
+		inject func(*fake.Disk) (clearFault func())
 	}{
 		{"full", func(d *fake.Disk) func() {
 			d.Fail(nil, nil, io.ErrShortWrite)
@@ -454,13 +462,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := fake.NewDisk(-1)
-			o := options(d)
+			o := testOptions(d)
 			o.Commit.SlowDiskTime = 20 * time.Millisecond
-			l := start(t, o)
+			l := startLedger(t, o)
 			serve := func(id string, unrecorded bool) (sent bool) {
-				q := request(id)
-				q.Unrecorded = unrecorded
-				e, err := l.Begin(q)
+				request := testRequest(id)
+				request.Unrecorded = unrecorded
+				e, err := l.Begin(request)
 				if err != nil {
 					return false
 				}
@@ -474,54 +482,54 @@
 				e.Finish(segment.Served, 200)
 				return true
 			}
-			lbtest.Until(t, "before", func() bool { return serve("before", false) })
-			off := c.on(d)
-			lbtest.Until(t, "refusals", func() bool { return !serve("meets it", false) })
-			lbtest.Until(t, "the disk is known to be in trouble", func() bool { return !l.Status().Ready })
-			var unready *UnavailableError
-			if _, err := l.Begin(request("after it")); !errors.As(err, &unready) || unready.RetryAfter <= 0 {
-				t.Errorf("in trouble: %v", err)
+			lbtest.Until(t, "a request is served before the fault", func() bool { return serve("before", false) })
+			clearFault := c.inject(d)
+			lbtest.Until(t, "a request is rejected during the fault", func() bool { return !serve("meets it", false) })
+			lbtest.Until(t, "the status shows the disk fault", func() bool { return !l.Status().Ready })
+			var unavailable *UnavailableError
+			if _, err := l.Begin(testRequest("after it")); !errors.As(err, &unavailable) || unavailable.RetryAfter <= 0 {
+				t.Errorf("Begin during the disk fault: got %v, want an UnavailableError with RetryAfter", err)
 			}
 			if !serve("unrecorded", true) || l.Status().Unrecorded == 0 {
-				t.Errorf("a class that goes unrecorded was not served, or not counted: %+v", l.Status())
+				t.Errorf("request with Unrecorded set was not served, or not counted: %+v", l.Status())
 			}
-			off()
-			lbtest.Until(t, "after", func() bool { return serve("after", false) })
-			lbtest.Until(t, "what was served unrecorded is noted", func() bool { l.checkClock(); l.mu.Lock(); defer l.mu.Unlock(); return l.unrecorded.Count == 0 })
+			clearFault()
+			lbtest.Until(t, "a request is served after the fault", func() bool { return serve("after", false) })
+			lbtest.Until(t, "the number of unrecorded requests is recorded", func() bool { l.checkClock(); l.mu.Lock(); defer l.mu.Unlock(); return l.unrecorded.Count == 0 })
 			l.Close()
-			is, report := read(t, d)
+			recovered, report := readLog(t, d)
 			for _, id := range []string{"before", "after"} {
-				if q := is[id]; q == nil || q.Verdict() != requesthistory.Served {
-					t.Errorf("%s: %+v", id, q)
+				if request := recovered[id]; request == nil || request.Verdict() != requesthistory.Served {
+					t.Errorf("request %s: want the verdict served, got %+v", id, request)
 				}
 			}
-			if q := is["after it"]; q != nil {
-				t.Errorf("what was not taken is told: %+v", q)
+			if request := recovered["after it"]; request != nil {
+				t.Errorf("rejected request is in the log: %+v", request)
 			}
-			missed := false
+			unrecordedReported := false
 			for _, loss := range report.Losses {
-				missed = missed || loss.Unrecorded && loss.Count > 0
+				unrecordedReported = unrecordedReported || loss.Unrecorded && loss.Count > 0
 				if !loss.Unrecorded {
-					t.Errorf("a loss: %+v", loss)
+					t.Errorf("records lost: %+v", loss)
 				}
 			}
-			if !missed {
-				t.Error("the account does not tell of what was served unrecorded")
+			if !unrecordedReported {
+				t.Error("the log does not report the unrecorded requests")
 			}
 		})
 	}
 }
 
-// Segments that are missing, doubled, of another format or of another ledger, and pages that are spoilt: all that is sound
-// is told, what is lost is counted, and keys of which records may be lost are held back for as long as they count.
-func TestDamagedLog(t *testing.T) {
+// A segment is missing, duplicated, of a newer format, or has a corrupt page. All intact requests are still read and lost records are
+// counted. While endpoints may remember keys whose records are lost, unknown keys are uncertain.
+func TestDamagedLogReportsLossesAndUncertainKeys(t *testing.T) {
 	d := fake.NewDisk(-1)
-	l, err := Start(options(d))
+	l, err := Start(testOptions(d))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 400 {
-		e, err := l.Begin(request(fmt.Sprint(i)))
+		e, err := l.Begin(testRequest(fmt.Sprint(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -533,216 +541,218 @@
 		e.Finish(segment.Served, 200)
 	}
 	l.Close()
-	whole, report := read(t, d)
-	if len(whole) != 400 || !report.IsSound() || len(report.Files) < 4 || !report.Incarnations[0].CleanShutdown {
-		t.Fatalf("%d requests in %d segments: %+v", len(whole), len(report.Files), report)
+	original, report := readLog(t, d)
+	if len(original) != 400 || !report.IsSound() || len(report.Files) < 4 || !report.Incarnations[0].CleanShutdown {
+		t.Fatalf("undamaged log: %d requests in %d segments, want 400 in at least 4: %+v", len(original), len(report.Files), report)
 	}
-	mid := report.Files[1]
+	middle := report.Files[1]
 	for name, c := range map[string]struct {
-		change func(*fake.Disk)
-		lost   uint64 // records
-		note   bool
+		change  func(*fake.Disk)
+		lost    uint64 // records; 1: some of one segment
+		skipped bool
 	}{
-		"missing": {func(d *fake.Disk) { d.Remove(mid.Name) }, mid.Records, false},
-		"doubled": {func(d *fake.Disk) {
-			b := d.Bytes(mid.Name)
-			d.Change("00000000000000f0.seg", func([]byte) []byte { return b })
+		"missing": {func(d *fake.Disk) { d.Remove(middle.Name) }, middle.Records, false},
+		"duplicated": {func(d *fake.Disk) {
+			content := d.Bytes(middle.Name)
+			d.Change("00000000000000f0.seg", func([]byte) []byte { return content })
 		}, 0, true},
-		"newer": {func(d *fake.Disk) {
-			d.Change(mid.Name, func(b []byte) []byte {
-				n := len(segment.AppendHeader(nil, 0, &mid.Header)) / 2
-				b[8], b[n+8] = 9, 9
-				return b
+		"newer format": {func(d *fake.Disk) {
+			d.Change(middle.Name, func(content []byte) []byte {
+				n := len(segment.AppendHeader(nil, 0, &middle.Header)) / 2
+				content[8], content[n+8] = 9, 9
+				return content
 			})
-		}, mid.Records, true},
-		"a spoilt page": {func(d *fake.Disk) {
-			d.Change(mid.Name, func(b []byte) []byte { copy(b[4096:8192], make([]byte, 4096)); return b })
+		}, middle.Records, true},
+		"corrupt page": {func(d *fake.Disk) {
+			d.Change(middle.Name, func(content []byte) []byte { copy(content[4096:8192], make([]byte, 4096)); return content })
 		}, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := d.AfterKill()
 			c.change(d)
-			is, report := read(t, d)
+			recovered, report := readLog(t, d)
 			lost := uint64(0)
 			for _, loss := range report.Losses {
 				lost += loss.To - loss.From + 1
 			}
 			if c.lost > 1 && lost != c.lost || c.lost == 1 && (lost < 10 || lost > 120) || c.lost == 0 && lost != 0 {
-				t.Errorf("%d records lost: %+v", lost, report.Losses)
+				t.Errorf("unexpected number of lost records, %d: %+v", lost, report.Losses)
 			}
 			if report.IsSound() {
-				t.Error("called sound")
+				t.Error("a damaged log is reported as sound")
 			}
-			for id, q := range is {
-				if v := q.Verdict(); v != requesthistory.Served && !q.RecordsLost {
-					t.Errorf("%s is called %v", id, v)
+			for id, request := range recovered {
+				if verdict := request.Verdict(); verdict != requesthistory.Served && !request.RecordsLost {
+					t.Errorf("request %s: verdict %v, although none of its records are reported lost", id, verdict)
 				}
 			}
-			next, err := Start(options(d))
+			restarted, err := Start(testOptions(d))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer next.Close()
-			if doubt := next.IsUncertain(time.Now()); doubt != (c.lost > 0) {
-				t.Errorf("doubt: %v", doubt)
+			defer restarted.Close()
+			if uncertain := restarted.IsUncertain(time.Now()); uncertain != (c.lost > 0) {
+				t.Errorf("unknown keys are uncertain: got %v", uncertain)
 			}
-			if next.IsUncertain(time.Now().Add(3 * time.Minute)) {
-				t.Error("doubt has no end")
+			if restarted.IsUncertain(time.Now().Add(3 * time.Minute)) {
+				t.Error("unknown keys are still uncertain 3 minutes after the start, want 2 minutes at most")
 			}
 		})
 	}
 }
 
-// The window of a key is counted over restarts by the machine's clock where that tells, and by the time of day with its
-// error where it does not; a time of day that has gone back ends the window and not the memory.
-func TestRecallAndClocks(t *testing.T) {
+// After a restart, the retry window of a recovered key is measured by the machine's monotonic clock within one boot. Across a reboot it
+// is measured by the wall clock and its maximum error. A wall clock that has gone back ends the retry window, but the key stays known.
+// Names hashed under a secret are found again with the secret.
+func TestRecoveredKeyExpiresAcrossRestartsAndClockChanges(t *testing.T) {
 	d := fake.NewDisk(-1)
-	o := options(d)
-	since := time.Hour
-	o.SinceBoot = func() time.Duration { return since }
+	o := testOptions(d)
+	sinceBoot := time.Hour
+	o.SinceBoot = func() time.Duration { return sinceBoot }
 	l, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := l.Begin(request("a"))
+	e, err := l.Begin(testRequest("a"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := e.Attempt("n1", terms).Intent(context.Background(), idempotency.Place{Cluster: "c", Zone: "north"}); err != nil {
 		t.Fatal(err)
 	}
-	killed := d.AfterKill()
+	killedDisk := d.AfterKill()
 	l.Close()
 	id := idempotency.KeyIDOf("school", "key a")
 	for name, c := range map[string]struct {
-		boot        string
-		later       time.Duration // by the machine's clock
-		shift       time.Duration // of the time of day: the log is told to be so much older
-		known, open bool
+		bootID           string
+		sinceKill        time.Duration // by the machine's monotonic clock
+		wallClockShift   time.Duration // added to the wall clock at the time of reading
+		known, retryable bool
 	}{
-		"at once":               {"boot 1", 0, 0, true, true},
-		"past the window":       {"boot 1", 61 * time.Second, 0, true, false},
-		"past all":              {"boot 1", 121 * time.Second, 0, false, false},
-		"the clock was set":     {"boot 1", time.Second, 100 * time.Hour, true, true},
-		"another start":         {"boot 2", 0, 0, true, true},
-		"another start, later":  {"boot 2", 0, 70 * time.Second, true, false},
-		"another start, at end": {"boot 2", 0, 121*time.Second + 2*time.Second, false, false},
-		"the clock went back":   {"boot 2", 0, -time.Hour, true, false},
+		"same boot, at once":                {"boot 1", 0, 0, true, true},
+		"same boot, after the retry window": {"boot 1", 61 * time.Second, 0, true, false},
+		"same boot, after the retention":    {"boot 1", 121 * time.Second, 0, false, false},
+		"same boot, wall clock was set":     {"boot 1", time.Second, 100 * time.Hour, true, true},
+		"rebooted, at once":                 {"boot 2", 0, 0, true, true},
+		"rebooted, after the retry window":  {"boot 2", 0, 70 * time.Second, true, false},
+		"rebooted, after the retention":     {"boot 2", 0, 121*time.Second + 2*time.Second, false, false},
+		"rebooted, wall clock went back":    {"boot 2", 0, -time.Hour, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			now := requesthistory.Clock{Time: time.Now().Add(c.shift), BootID: c.boot, SinceBoot: since + c.later, MaxError: time.Second}
+			now := requesthistory.Clock{Time: time.Now().Add(c.wallClockShift), BootID: c.bootID, SinceBoot: sinceBoot + c.sinceKill, MaxError: time.Second}
 			var keys []idempotency.Record
-			if _, err := Read(killed, false, func(q *requesthistory.Request) {
-				q.EachKeyRecord(now, func(k idempotency.Record) { keys = append(keys, k) })
+			if _, err := Read(killedDisk, false, func(request *requesthistory.Request) {
+				request.EachKeyRecord(now, func(record idempotency.Record) { keys = append(keys, record) })
 			}); err != nil {
 				t.Fatal(err)
 			}
 			if known := len(keys) == 1 && keys[0].ID == id && keys[0].KeyState.Place.Zone == "north"; known != c.known {
-				t.Fatalf("known: %v", known)
+				t.Fatalf("key recovered: got %v", known)
 			}
-			if c.known && now.Time.Before(keys[0].KeyState.RetryUntil) != c.open {
-				t.Errorf("repeats are sent until %v from now", keys[0].KeyState.RetryUntil.Sub(now.Time))
+			if c.known && now.Time.Before(keys[0].KeyState.RetryUntil) != c.retryable {
+				t.Errorf("unexpected end of the retry window: %v from now", keys[0].KeyState.RetryUntil.Sub(now.Time))
 			}
 		})
 	}
-	// Hashed names are found again by who has the secret, and stand nowhere in the log.
-	h := fake.NewDisk(-1)
-	o = options(h)
+	// With a secret, the log contains hashed names only. A process with the same secret finds them again.
+	hashedDisk := fake.NewDisk(-1)
+	o = testOptions(hashedDisk)
 	o.Secret = []byte("a secret of the school's, 32 byte")
 	l, err = Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, err = l.Begin(request("b")); err != nil {
+	if e, err = l.Begin(testRequest("b")); err != nil {
 		t.Fatal(err)
 	}
 	if err := e.Attempt("n1", terms).Intent(context.Background(), idempotency.Place{Zone: "north"}); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
-	is, _ := read(t, h)
-	if q := is["b"]; q.Key != HashName(o.Secret, "key", "key b") || q.Tenant == "school" || q.KeyID == idempotency.KeyIDOf("school", "key b") {
-		t.Errorf("%+v", q)
+	recovered, _ := readLog(t, hashedDisk)
+	if request := recovered["b"]; request.Key != HashName(o.Secret, "key", "key b") || request.Tenant == "school" || request.KeyID == idempotency.KeyIDOf("school", "key b") {
+		t.Errorf("names are not hashed: %+v", request)
 	}
-	next := start(t, Options{Disk: h, BootID: o.BootID, Secret: o.Secret, MaxKeys: 10, Log: o.Log, Commit: o.Commit, Retention: o.Retention})
-	if k, _, ok := next.RecoveredKey(time.Now(), idempotency.KeyIDOf("school", "key b")); !ok || k.ID != idempotency.KeyIDOf("school", "key b") {
-		t.Errorf("%+v, %v", k, ok)
+	restarted := startLedger(t, Options{Disk: hashedDisk, BootID: o.BootID, Secret: o.Secret, MaxKeys: 10, Log: o.Log, Commit: o.Commit, Retention: o.Retention})
+	if record, _, ok := restarted.RecoveredKey(time.Now(), idempotency.KeyIDOf("school", "key b")); !ok || record.ID != idempotency.KeyIDOf("school", "key b") {
+		t.Errorf("key hashed under the same secret: got %+v, found %v", record, ok)
 	}
 }
 
-// One directory is one process's; old segments go, but none that a key needs.
-func TestDirectory(t *testing.T) {
-	o := options(nil)
+// A directory is locked for one process. Expired segments are removed, except while keys may need them. Files are readable by their
+// owner only. A directory that is removed in use is noticed, and is used again and locked once it exists again.
+func TestDirectoryIsLockedAndExpiredSegmentsAreRemoved(t *testing.T) {
+	o := testOptions(nil)
 	o.Dir, o.BootID = t.TempDir(), ""
-	l := start(t, o)
+	l := startLedger(t, o)
 	if _, err := Start(o); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second start on the same directory: got %v, want ErrLocked", err)
 	}
 	if !disk.Dir(o.Dir).IsLocked() {
-		t.Error("not held")
+		t.Error("the directory is not locked while a ledger runs")
 	}
-	for n := 0; l.Status().Segments < 3; n++ { // what is written at once stands in one segment, however large
+	for n := 0; l.Status().Segments < 3; n++ { // all that is written at once goes into one segment, whatever its size
 		if n == 50_000 {
-			t.Fatalf("%d segments", l.Status().Segments)
+			t.Fatalf("%d segments after 50000 requests, want 3", l.Status().Segments)
 		}
 		if n%50 == 0 {
-			time.Sleep(time.Millisecond) // the writer has its turn
+			time.Sleep(time.Millisecond) // lets the writer run
 		}
-		e, err := l.Begin(request("a"))
+		e, err := l.Begin(testRequest("a"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		e.Finish(segment.Served, 200)
 	}
-	lbtest.Until(t, "all is written", func() bool { v := l.Status(); return v.Durable == v.Records })
+	lbtest.Until(t, "all records are durable", func() bool { v := l.Status(); return v.Durable == v.Records })
 	o.Retention.MaxBytes = 1
 	moved := o
 	moved.Dir += "x"
 	if err := l.CheckUpdate(o); err != nil || l.CheckUpdate(moved) == nil {
-		t.Errorf("%v, or another directory fits", err)
+		t.Errorf("CheckUpdate: got %v for another retention, or no error for another directory", err)
 	}
 	l.Update(o)
 	l.removeExpiredSegments(time.Now().Add(time.Minute))
 	if n := l.Status().Segments; n < 3 {
-		t.Errorf("%d segments, while keys may need them", n)
+		t.Errorf("%d segments are left within MinAge, want at least 3", n)
 	}
 	l.removeExpiredSegments(time.Now().Add(time.Hour))
 	if n := l.Status().Segments; n != 1 {
-		t.Errorf("%d segments are kept", n)
+		t.Errorf("%d segments are left after MaxAge, want 1", n)
 	}
-	// Its files are its owner's alone. One that is removed in use is noticed, and used again once it is there again.
+	// Only the owner can read the files. The removal of the directory is noticed, and the directory is used again once it exists.
 	files, err := os.ReadDir(o.Dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range files {
 		if i, err := f.Info(); err != nil || i.Mode().Perm() != 0o600 {
-			t.Errorf("%s: %v %v", f.Name(), i.Mode(), err)
+			t.Errorf("file %s: mode %v, want 0600; error %v", f.Name(), i.Mode(), err)
 		}
 	}
 	if err := os.RemoveAll(o.Dir); err != nil {
 		t.Fatal(err)
 	}
-	lbtest.Until(t, "it is missed", func() bool { return !l.Status().Ready })
-	if _, err := l.Begin(request("b")); err == nil {
-		t.Error("taken without a directory")
+	lbtest.Until(t, "the removed directory is noticed", func() bool { return !l.Status().Ready })
+	if _, err := l.Begin(testRequest("b")); err == nil {
+		t.Error("request accepted without a directory")
 	}
 	if err := os.Mkdir(o.Dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	lbtest.Until(t, "it is used again", func() bool {
-		e, err := l.Begin(request("c"))
+	lbtest.Until(t, "the new directory is used", func() bool {
+		e, err := l.Begin(testRequest("c"))
 		return err == nil && e.Attempt("n", terms).Intent(context.Background(), idempotency.Place{}) == nil
 	})
 	if _, err := Start(o); !errors.Is(err, disk.ErrLocked) {
-		t.Errorf("a second one, on the directory that was made anew: %v", err)
+		t.Errorf("second start on the directory created again: got %v, want ErrLocked", err)
 	}
 	l.Close()
 	if disk.Dir(o.Dir).IsLocked() {
-		t.Error("held after its end")
+		t.Error("the directory is still locked after Close")
 	}
-	r, live, err := ReadDir(o.Dir, func(*requesthistory.Request) {})
-	if err != nil || live || !r.IsSound() || r.Records == 0 {
-		t.Errorf("%+v %v %v", r, live, err)
+	report, running, err := ReadDir(o.Dir, func(*requesthistory.Request) {})
+	if err != nil || running || !report.IsSound() || report.Records == 0 {
+		t.Errorf("ReadDir after Close: report %+v, running %v, error %v", report, running, err)
 	}
 }
