--- a/internal/ledger/commit/commit.go
+++ b/internal/ledger/commit/commit.go
@@ -72,7 +72,7 @@
 	failure                       error     // last error; nil: none since the current segment was opened
 	retryAt                       time.Time
 	retryDelay                    time.Duration
-	dropped                       uint64 // records that were dropped since MaxPendingBytes was reached
+	dropped                       uint64 // records dropped because they did not fit into MaxPendingBytes
 	closing                       bool
 }
 
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -95,9 +95,9 @@
 	return &Attempt{entry: e, number: e.attempts, endpoint: endpoint, terms: terms}
 }
 
-// Intent records that the attempt is about to be sent to a place. It returns once the record is durable, or only written in mode
-// OSBuffered. After an error the attempt must not be sent. For a request with Unrecorded set, a ledger that cannot record is not an
-// error: the attempt is counted as unrecorded.
+// Intent records that the attempt is about to be sent to a place. It returns once the record is durable; in mode OSBuffered, once it is
+// written. After an error the attempt must not be sent. If the record of an attempt fails and the request has Unrecorded set, Intent
+// returns no error and counts the attempt as unrecorded.
 func (a *Attempt) Intent(ctx context.Context, to idempotency.Place) error {
 	l := a.entry.ledger
 	l.mu.Lock()
--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -153,11 +153,11 @@
 	return s.Header, nil
 }
 
-// neverUsed is the skip reason of a segment without records whose header was never durable: the process ended, or the disk failed,
-// before.
+// neverUsed is the skip reason of a segment without records whose header was never durable, because the process ended or the disk
+// failed before.
 const neverUsed = "never used"
 
-// blankReadBytes is how much of a file is read at once.
+// blankReadBytes is the size of the buffer with which isBlank reads a file.
 const blankReadBytes = 64 << 10
 
 // isBlank reports whether a file contains only zeros after the space reserved for its header.
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -62,7 +62,7 @@
 	return until
 }
 
-// hasUnreadableSegment reports whether there is a segment whose header cannot be read, and that may contain records.
+// hasUnreadableSegment reports whether the header of a segment that may contain records cannot be read.
 func (r *Report) hasUnreadableSegment() bool {
 	for _, f := range r.Files {
 		if f.SkipReason != "" && f.SkipReason != neverUsed && f.Header.Salt == 0 {
--- a/internal/ledger/waitqueue.go
+++ b/internal/ledger/waitqueue.go
@@ -28,7 +28,7 @@
 
 var waiters = sync.Pool{New: func() any { return &waiter{done: make(chan error, 1)} }}
 
-// slowRetryAfter is the retry delay of requests whose wait for the disk was ended.
+// slowRetryAfter is the RetryAfter of requests whose wait for the disk ended with an error.
 const slowRetryAfter = 100 * time.Millisecond
 
 // expire ends the waits whose deadline has passed.
