--- a/internal/ledger/commit/commit.go
+++ b/internal/ledger/commit/commit.go
@@ -257,18 +257,18 @@
 // IsFull reports whether a new segment is needed: the current one is full, or was closed after an error.
 func (l *Log) IsFull() bool { return !l.segmentOpen || l.isSegmentFull() }
 
-// Written returns the sequence number up to which records are written.
-func (l *Log) Written() uint64 { return l.writtenTo }
+// WrittenSeq returns the sequence number up to which records are written.
+func (l *Log) WrittenSeq() uint64 { return l.writtenTo }
 
-// Durable returns the sequence number up to which records are durable.
-func (l *Log) Durable() uint64 { return l.durableTo }
+// DurableSeq returns the sequence number up to which records are durable.
+func (l *Log) DurableSeq() uint64 { return l.durableTo }
 
 // ErrorCount returns the number of disk errors. Callers that wait for a record should stop waiting when it changes, as the disk may
 // never recover.
 func (l *Log) ErrorCount() uint64 { return l.errorCount }
 
-// Dropped returns the number of records that did not fit into MaxPendingBytes.
-func (l *Log) Dropped() uint64 { return l.dropped }
+// DroppedCount returns the number of records that did not fit into MaxPendingBytes.
+func (l *Log) DroppedCount() uint64 { return l.dropped }
 
 // Ready reports whether a record that is added now can be expected to be safe soon: reason is empty. Otherwise reason describes the
 // disk's state, and retryAfter is the time after which it may have changed.
--- a/internal/ledger/commit/commit_test.go
+++ b/internal/ledger/commit/commit_test.go
@@ -130,15 +130,15 @@
 				}
 			}
 			for seq := range added {
-				if seq <= l.Durable() && (config.Mode != OSBuffered && !durable[seq] || !written[seq]) {
-					t.Fatalf("record %d is reported durable (up to %d), but is not", seq, l.Durable())
+				if seq <= l.DurableSeq() && (config.Mode != OSBuffered && !durable[seq] || !written[seq]) {
+					t.Fatalf("record %d is reported durable (up to %d), but is not", seq, l.DurableSeq())
 				}
-				if seq <= l.Written() && !written[seq] {
+				if seq <= l.WrittenSeq() && !written[seq] {
 					t.Fatalf("record %d is reported written, but is not", seq)
 				}
 			}
-			if l.Durable() > l.Written() {
-				t.Fatalf("durable up to %d, but written only up to %d", l.Durable(), l.Written())
+			if l.DurableSeq() > l.WrittenSeq() {
+				t.Fatalf("durable up to %d, but written only up to %d", l.DurableSeq(), l.WrittenSeq())
 			}
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -157,8 +157,8 @@
 		for seq := range added {
 			lastAdded = max(lastAdded, seq)
 		}
-		if l.Written() < lastAdded || l.Durable() < lastAdded || !l.IsDone() && len(segments) > 0 {
-			t.Fatalf("after the disk recovered: durable up to %d, want %d; done: %v", l.Durable(), lastAdded, l.IsDone())
+		if l.WrittenSeq() < lastAdded || l.DurableSeq() < lastAdded || !l.IsDone() && len(segments) > 0 {
+			t.Fatalf("after the disk recovered: durable up to %d, want %d; done: %v", l.DurableSeq(), lastAdded, l.IsDone())
 		}
 		if reason, _ := l.Ready(now); reason != "" {
 			t.Fatalf("after the disk recovered: not ready: %s", reason)
@@ -239,7 +239,7 @@
 		{[]Segment{segmentOfAge(1, 9*time.Minute), segmentOfAge(2, 2*time.Minute), segmentOfAge(3, 0)}, nil, true}, // younger than MinAge
 		{[]Segment{segmentOfAge(1, time.Minute), segmentOfAge(2, 2*time.Hour), segmentOfAge(3, 0)}, nil, true},     // the log must not have gaps
 	} {
-		if expired, over := retention.Expired(now, c.all); !slices.Equal(expired, c.expired) || over != c.over {
+		if expired, over := retention.ExpiredSegments(now, c.all); !slices.Equal(expired, c.expired) || over != c.over {
 			t.Errorf("segments %v: expired %v, over the maximum size: %v", c.all, expired, over)
 		}
 	}
--- a/internal/ledger/commit/retention.go
+++ b/internal/ledger/commit/retention.go
@@ -17,9 +17,9 @@
 	MinAge time.Duration
 }
 
-// Expired returns the numbers of the segments to remove, from all segments that are no longer written, oldest first. Over means that
-// more than MaxBytes remain because of MinAge.
-func (r Retention) Expired(now time.Time, all []Segment) (expired []uint64, over bool) {
+// ExpiredSegments returns the numbers of the segments to remove, oldest first, from all segments that are no longer written. Over
+// means that more than MaxBytes remain because of MinAge.
+func (r Retention) ExpiredSegments(now time.Time, all []Segment) (expired []uint64, over bool) {
 	total := int64(0)
 	for _, s := range all {
 		total += s.Bytes
--- a/internal/ledger/maintenance.go
+++ b/internal/ledger/maintenance.go
@@ -141,7 +141,7 @@
 	l.mu.Lock()
 	segments := slices.Clone(l.segments[:len(l.segments)-1]) // the last segment is being written
 	l.mu.Unlock()
-	expired, over := l.options.Load().Retention.Expired(now, segments)
+	expired, over := l.options.Load().Retention.ExpiredSegments(now, segments)
 	if over {
 		l.log.Warn("log exceeds its maximum size: recent segments are kept for their keys")
 	}
--- a/internal/ledger/waitqueue.go
+++ b/internal/ledger/waitqueue.go
@@ -64,8 +64,8 @@
 		l.reportedErrors = count
 		failure = &UnavailableError{Reason: "the disk fails", RetryAfter: slowRetryAfter}
 	}
-	l.written.release(l.commit.Written(), failure)
-	l.durable.release(l.commit.Durable(), failure)
+	l.written.release(l.commit.WrittenSeq(), failure)
+	l.durable.release(l.commit.DurableSeq(), failure)
 	l.logState(now)
 	if l.commit.IsDone() {
 		l.markFlushed()
@@ -84,7 +84,7 @@
 // await waits until a record is written or durable, for at most SlowDiskTime and one interval of waiterLoop (a quarter of
 // SlowDiskTime). The caller holds the lock, which await releases.
 func (l *Ledger) await(ctx context.Context, seq uint64, durable bool) error {
-	if l.commit.Durable() >= seq || !durable && l.commit.Written() >= seq {
+	if l.commit.DurableSeq() >= seq || !durable && l.commit.WrittenSeq() >= seq {
 		l.mu.Unlock()
 		return nil
 	}
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -15,7 +15,7 @@
 // waiterLoop wakes the writer. The caller holds the lock.
 func (l *Ledger) addRecord(r *segment.Record, urgent bool) (seq uint64, ok bool) {
 	seq = l.commit.NextSeq()
-	if durable := l.commit.Durable(); durable > 0 && (r.Kind == segment.Intent || r.Kind == segment.Final) {
+	if durable := l.commit.DurableSeq(); durable > 0 && (r.Kind == segment.Intent || r.Kind == segment.Final) {
 		r.DurableLag = seq - durable
 	}
 	frame, err := segment.AppendFrame(l.frameBuffer[:0], seq, r)
@@ -91,11 +91,11 @@
 func (l *Ledger) completeSync(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.commit.Durable()
+	before := l.commit.DurableSeq()
 	l.commit.SyncCompleted(time.Now(), err)
 	l.syncCount++
 	if before > 0 {
-		l.syncedRecords += l.commit.Durable() - before
+		l.syncedRecords += l.commit.DurableSeq() - before
 	}
 	l.notifyWaiters(time.Now())
 	if l.commit.IsFull() {
