--- a/internal/ledger/requesthistory/index.go
+++ b/internal/ledger/requesthistory/index.go
@@ -119,7 +119,7 @@
 	i.LastRecord = max(i.LastRecord, r.At)
 	switch r.Kind {
 	case segment.ClockShift:
-		i.ClockShifts = append(i.ClockShifts, ClockShift{At: r.At, By: time.UnixMicro(r.WallTime).Sub(i.StartedAt.Add(r.At))})
+		i.ClockShifts = append(i.ClockShifts, ClockShift{At: r.At, Offset: time.UnixMicro(r.WallTime).Sub(i.StartedAt.Add(r.At))})
 	case segment.Unrecorded:
 		x.onLoss(DataLoss{Unrecorded: true, Count: r.Count, After: i.Time(r.Since), Before: i.Time(r.At), Incarnation: i, At: r.At})
 	case segment.Shutdown:
--- a/internal/ledger/requesthistory/index_test.go
+++ b/internal/ledger/requesthistory/index_test.go
@@ -10,10 +10,10 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// play tells a book a story, a line for each record: "taken 1", "intent 1 1 n1", "outcome 1 1 ok|never|lost", "final 1
+// replayScenario tells a book a story, a line for each record: "taken 1", "intent 1 1 n1", "outcome 1 1 ok|never|lost", "final 1
 // served|refused|failed|gone", "skip" (a record is missing), "wait 40s", "process" (another one begins), "clock +1h",
 // "missed 3", "closed", "safe" (all before it is durable); and returns what it gives out.
-func play(t *testing.T, live bool, story string) (out []string, lost []DataLoss) {
+func replayScenario(t *testing.T, live bool, story string) (out []string, lost []DataLoss) {
 	t.Helper()
 	var all []*Request
 	b := NewIndex(func(r *Request) { all = append(all, r) }, func(l DataLoss) { lost = append(lost, l) })
@@ -198,7 +198,7 @@
 			missed 3`, "", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			out, lost := play(t, c.live, c.story)
+			out, lost := replayScenario(t, c.live, c.story)
 			if got := strings.Join(out, ", "); got != c.want || len(lost) != c.lost {
 				t.Errorf("%s, %d losses %+v\nwant %s, %d", got, len(lost), lost, c.want, c.lost)
 			}
--- a/internal/ledger/requesthistory/request.go
+++ b/internal/ledger/requesthistory/request.go
@@ -64,8 +64,8 @@
 
 // ClockShift is a change of the wall clock.
 type ClockShift struct {
-	At time.Duration // since the process started
-	By time.Duration // compared with the start
+	At     time.Duration // since the process started
+	Offset time.Duration // compared with the start
 }
 
 // Time returns the wall-clock time at a moment of an incarnation, as the process saw it.
@@ -73,7 +73,7 @@
 	by := time.Duration(0)
 	for _, shift := range i.ClockShifts {
 		if shift.At <= at {
-			by = shift.By
+			by = shift.Offset
 		}
 	}
 	return i.StartedAt.Add(at + by)
@@ -151,7 +151,7 @@
 	switch {
 	case r.Answered && r.Ending == segment.Served:
 		return Served
-	case r.Incarnation.Running && r.hasOpenEnd():
+	case r.Incarnation.Running && r.hasUnrecordedEnd():
 		return InProgress
 	case executed:
 		return Executed
@@ -165,8 +165,8 @@
 	return NeverRan
 }
 
-// hasOpenEnd reports whether the end of the request or of an attempt is not recorded.
-func (r *Request) hasOpenEnd() bool {
+// hasUnrecordedEnd reports whether the end of the request or of an attempt is not recorded.
+func (r *Request) hasUnrecordedEnd() bool {
 	return !r.Answered || slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return !a.Ended })
 }
 
--- a/internal/ledger/segment/encode.go
+++ b/internal/ledger/segment/encode.go
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func duration(v uint64) time.Duration {
+func decodeDuration(v uint64) time.Duration {
 	return time.Duration(protowire.DecodeZigZag(v)) * time.Microsecond
 }
 
@@ -198,11 +198,11 @@
 	case fieldKind:
 		r.Kind = Kind(min(v, maxByte))
 	case fieldAt:
-		r.At = duration(v)
+		r.At = decodeDuration(v)
 	case fieldRequest:
 		r.Request = v
 	case fieldTimeLeft:
-		r.TimeLeft = duration(v)
+		r.TimeLeft = decodeDuration(v)
 	case fieldAttempt:
 		r.Attempt = int(min(v, maxAttempt))
 	case fieldCell:
@@ -210,9 +210,9 @@
 	case fieldScope:
 		r.Scope = uint8(min(v, maxByte))
 	case fieldWindow:
-		r.Window = duration(v)
+		r.Window = decodeDuration(v)
 	case fieldRetention:
-		r.Retention = duration(v)
+		r.Retention = decodeDuration(v)
 	case fieldNeverRan:
 		r.NeverRan = v != 0
 	case fieldResponded:
@@ -226,7 +226,7 @@
 	case fieldCount:
 		r.Count = v
 	case fieldSince:
-		r.Since = duration(v)
+		r.Since = decodeDuration(v)
 	case fieldDurableLag:
 		r.DurableLag = v
 	}
--- a/internal/ledger/segment/format_test.go
+++ b/internal/ledger/segment/format_test.go
@@ -32,7 +32,7 @@
 	}
 	Seal(b[at:], salt)
 	recorded := golden.Binary(t, "segment.hex", b)
-	got, s, err := scan(bytes.NewReader(recorded))
+	got, s, err := scanAll(bytes.NewReader(recorded))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/segment/scanner.go
+++ b/internal/ledger/segment/scanner.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	readWindow  = 256 << 10 // bytes of a file that are held in memory while it is read
-	maxInterned = 4 << 10   // texts
-	zeroBlock   = 4 << 10   // bytes that are skipped at once where a file is empty
+	readBufferBytes = 256 << 10 // bytes of a file that are held in memory while it is read
+	maxInterned     = 4 << 10   // texts
+	zeroBlockBytes  = 4 << 10   // bytes that are skipped at once where a file is empty
 )
 
 // Damage is a part of a segment that is not valid.
@@ -41,28 +41,28 @@
 	record     Record
 	frameBytes int // of the present record
 
-	names map[string]string
+	internedTexts map[string]string
 }
 
 // intern returns a text that is repeated often, as one string.
 func (s *Scanner) intern(b []byte) string {
-	if known, ok := s.names[string(b)]; ok {
+	if known, ok := s.internedTexts[string(b)]; ok {
 		return known
 	}
-	if len(s.names) >= maxInterned {
-		s.names = nil
+	if len(s.internedTexts) >= maxInterned {
+		s.internedTexts = nil
 	}
-	if s.names == nil {
-		s.names = map[string]string{}
+	if s.internedTexts == nil {
+		s.internedTexts = map[string]string{}
 	}
 	text := string(b)
-	s.names[text] = text
+	s.internedTexts[text] = text
 	return text
 }
 
 // NewScanner reads a segment's header.
 func NewScanner(r io.Reader) (*Scanner, error) {
-	s := &Scanner{reader: bufio.NewReaderSize(r, readWindow)}
+	s := &Scanner{reader: bufio.NewReaderSize(r, readBufferBytes)}
 	b, _ := s.reader.Peek(2 * (prologueBytes + maxHeaderBytes))
 	size, err := s.readHeader(b)
 	if err != nil {
@@ -106,8 +106,8 @@
 	reason  string
 }
 
-// extend adds the present offset.
-func (v *invalidRun) extend(offset int64) {
+// begin adds the present offset.
+func (v *invalidRun) begin(offset int64) {
 	if v.from < 0 {
 		v.from = offset
 	}
@@ -121,8 +121,8 @@
 	invalid := invalidRun{from: -1, isEmpty: true, reason: "not sound"}
 	for {
 		if s.atZeros() {
-			invalid.extend(s.offset)
-			s.skip(zeroBlock)
+			invalid.begin(s.offset)
+			s.skip(zeroBlockBytes)
 			continue
 		}
 		head, err := s.reader.Peek(frameHeadBytes)
@@ -133,7 +133,7 @@
 		}
 		frame := s.validFrame(head)
 		if frame == nil {
-			invalid.extend(s.offset)
+			invalid.begin(s.offset)
 			invalid.isEmpty = invalid.isEmpty && allZero(head[:alignment])
 			s.skip(alignment)
 			continue
@@ -147,7 +147,7 @@
 		if err != nil {
 			invalid.reason = err.Error()
 		}
-		invalid.extend(s.offset)
+		invalid.begin(s.offset)
 		invalid.isEmpty = false
 		s.skip(len(frame))
 	}
@@ -203,17 +203,17 @@
 	if v.isEmpty {
 		return
 	}
-	v.extend(s.offset)
+	v.begin(s.offset)
 	s.Damage = append(s.Damage, Damage{From: v.from, To: s.offset + rest, After: s.lastSeq, Reason: v.reason})
 }
 
-var zeroBytes [zeroBlock]byte
+var zeroBytes [zeroBlockBytes]byte
 
 // atZeros reports whether a long run of zeros follows. A frame that starts within it is not skipped: the run is aligned, and a
 // frame's first eight bytes are never all zero, as its length is not.
 func (s *Scanner) atZeros() bool {
-	b, _ := s.reader.Peek(zeroBlock)
-	return len(b) == zeroBlock && bytes.Equal(b, zeroBytes[:])
+	b, _ := s.reader.Peek(zeroBlockBytes)
+	return len(b) == zeroBlockBytes && bytes.Equal(b, zeroBytes[:])
 }
 
 func allZero(b []byte) bool { return bytes.Equal(b, zeroBytes[:len(b)]) }
--- a/internal/ledger/segment/segment_test.go
+++ b/internal/ledger/segment/segment_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-var anyRecord = rapid.Custom(func(t *rapid.T) *Record {
+var recordGenerator = rapid.Custom(func(t *rapid.T) *Record {
 	short := rapid.StringN(0, 40, 200)
 	r := &Record{Kind: Kind(rapid.IntRange(1, 7).Draw(t, "kind")), At: time.Duration(rapid.Int64Range(-1e12, 1e15).Draw(t, "at")) * time.Microsecond,
 		Request: rapid.Uint64().Draw(t, "request"), ID: short.Draw(t, "id"), Class: short.Draw(t, "class"), Key: short.Draw(t, "key"),
@@ -27,8 +27,8 @@
 	return r
 })
 
-// file writes records 1, 2, ... as a segment, with room behind them.
-func file(t interface{ Fatal(...any) }, salt uint64, room int, all ...*Record) []byte {
+// buildSegment writes records 1, 2, ... as a segment, with room behind them.
+func buildSegment(t interface{ Fatal(...any) }, salt uint64, room int, all ...*Record) []byte {
 	b := AppendHeader(nil, salt, &Header{LedgerID: 7, Number: 3, FirstSeq: 1, Process: 9, Host: "north-1", BootID: "b", StartedAt: 1e15, Mode: "group"})
 	at := len(b)
 	for i, r := range all {
@@ -41,12 +41,12 @@
 	return append(b, make([]byte, room)...)
 }
 
-type read struct {
+type scannedRecord struct {
 	seq uint64
 	r   Record
 }
 
-func scan(r io.Reader) (all []read, s *Scanner, err error) {
+func scanAll(r io.Reader) (all []scannedRecord, s *Scanner, err error) {
 	if s, err = NewScanner(r); err != nil {
 		return nil, nil, err
 	}
@@ -55,16 +55,16 @@
 		if !ok {
 			return all, s, nil
 		}
-		all = append(all, read{seq, *r})
+		all = append(all, scannedRecord{seq, *r})
 	}
 }
 
 // What is written comes back, by whatever pieces it is read, and the room behind it is no damage.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := rapid.SliceOfN(anyRecord, 0, 8).Draw(t, "records")
-		b := file(t, rapid.Uint64().Draw(t, "salt"), rapid.IntRange(0, 3).Draw(t, "room")*4000, in...)
-		out, s, err := scan(iotest.HalfReader(bytes.NewReader(b)))
+		in := rapid.SliceOfN(recordGenerator, 0, 8).Draw(t, "records")
+		b := buildSegment(t, rapid.Uint64().Draw(t, "salt"), rapid.IntRange(0, 3).Draw(t, "room")*4000, in...)
+		out, s, err := scanAll(iotest.HalfReader(bytes.NewReader(b)))
 		if err != nil || len(out) != len(in) || len(s.Damage) > 0 || s.Header.Host != "north-1" || s.Header.LedgerID != 7 {
 			t.Fatalf("%v, %d of %d, %v", err, len(out), len(in), s)
 		}
@@ -76,30 +76,30 @@
 	})
 }
 
-// sample is a small file; its last record's key holds the text of a record of the same file, which must never be taken for
+// sampleSegment is a small file; its last record's key holds the text of a record of the same file, which must never be taken for
 // one.
-func sample(t *testing.T) []byte {
+func sampleSegment(t *testing.T) []byte {
 	t.Helper()
 	all := []*Record{{Kind: Received, Request: 1, ID: "a", Class: "seat", Key: "k", TimeLeft: time.Second, KeyID: [16]byte{1}},
 		{Kind: Intent, Request: 1, Attempt: 1, Endpoint: "n1", Zone: "north", Window: time.Minute},
 		{Kind: Outcome, Request: 1, Attempt: 1, Responded: true, Verdict: "ok", Status: 200},
 		{Kind: Final, Request: 1, Ending: Served, Status: 200}}
-	forged := file(t, 42, 0, &Record{Kind: Final, Request: 99, Ending: Served, Status: 200})
+	forged := buildSegment(t, 42, 0, &Record{Kind: Final, Request: 99, Ending: Served, Status: 200})
 	all = append(all, &Record{Kind: Received, Request: 2, ID: "b", Class: "seat", Key: string(forged[len(forged)-32:]) + string(forged)})
-	return file(t, 43, 0, all...)
+	return buildSegment(t, 43, 0, all...)
 }
 
 // A file cut at any byte, with any bit flipped, with any page zeroed or overwritten, gives only records that were written,
 // in their order, and shows each gap.
 func TestDamagedAnywhere(t *testing.T) {
-	whole := sample(t)
-	want, _, err := scan(bytes.NewReader(whole))
+	whole := sampleSegment(t)
+	want, _, err := scanAll(bytes.NewReader(whole))
 	if err != nil || len(want) != 5 {
 		t.Fatalf("%v, %d", err, len(want))
 	}
 	check := func(what string, at int, b []byte, most int) {
 		t.Helper()
-		got, s, err := scan(bytes.NewReader(b))
+		got, s, err := scanAll(bytes.NewReader(b))
 		if err != nil {
 			if !errors.Is(err, ErrForeign) && !errors.Is(err, ErrNewer) || most == 0 {
 				t.Fatalf("%s at %d: %v", what, at, err)
@@ -165,10 +165,10 @@
 }
 
 func FuzzScan(f *testing.F) {
-	f.Add(file(f, 1, 100, &Record{Kind: Shutdown}))
+	f.Add(buildSegment(f, 1, 100, &Record{Kind: Shutdown}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		last := uint64(0)
-		all, _, _ := scan(bytes.NewReader(b))
+		all, _, _ := scanAll(bytes.NewReader(b))
 		for _, r := range all {
 			if r.seq <= last {
 				t.Fatal("numbers go back")
@@ -188,10 +188,10 @@
 			&Record{Kind: Outcome, At: time.Hour, Request: 123456, Attempt: 1, Responded: true, Verdict: "ok", Status: 200},
 			&Record{Kind: Final, At: time.Hour, Request: 123456, Ending: Served, Status: 200})
 	}
-	text := file(b, 1, 0, all...)
+	text := buildSegment(b, 1, 0, all...)
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
-		if n, _, _ := scanCount(text); n != len(all) {
+		if n, _, _ := countRecords(text); n != len(all) {
 			b.Fatal(n)
 		}
 	}
@@ -199,7 +199,7 @@
 	b.ReportMetric(float64(len(text))/float64(len(all)/4), "bytes/request")
 }
 
-func scanCount(text []byte) (n int, s *Scanner, err error) {
+func countRecords(text []byte) (n int, s *Scanner, err error) {
 	if s, err = NewScanner(bytes.NewReader(text)); err != nil {
 		return 0, nil, err
 	}
