--- a/internal/ledger/requesthistory/format_test.go
+++ b/internal/ledger/requesthistory/format_test.go
@@ -7,7 +7,7 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// What exports tell of a request.
+// The JSON of an exported request and the names of the verdicts are those of the golden files.
 func TestViewFormat(t *testing.T) {
 	var v View
 	golden.Fill(&v)
@@ -26,12 +26,12 @@
 	golden.Text(t, "verdicts.json", text)
 }
 
-// What commands print of a request.
+// The text that commands print of a request, with and without its Received and Final records, is that of the golden file.
 func TestTextFormat(t *testing.T) {
 	var r Request
 	golden.Fill(&r)
 	r.Ending = 1
-	lost := r
-	lost.Known, lost.Answered = false, false
-	golden.Text(t, "request.txt", []byte(r.Text()+"\n"+lost.Text()))
+	incomplete := r
+	incomplete.Known, incomplete.Answered = false, false
+	golden.Text(t, "request.txt", []byte(r.Text()+"\n"+incomplete.Text()))
 }
--- a/internal/ledger/requesthistory/index.go
+++ b/internal/ledger/requesthistory/index.go
@@ -7,17 +7,18 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// DataLoss is a run of missing records.
+// DataLoss is a run of missing records, or of requests that were served without records.
 type DataLoss struct {
-	From, To uint64 // their sequence numbers, both included
-	// After and Before are the times of the adjacent records.
+	From, To uint64 // sequence numbers of the first and the last missing record
+	// After and Before are the wall-clock times of the records before and after the missing ones.
 	After, Before time.Time
-	Unrecorded    bool // they were never written: Count requests were served while the log could not be written
-	// Torn means that they are from the end of what a process wrote, and nothing tells that they were ever durable. So
-	// nobody has waited for them: no attempt was sent under them.
+	// Unrecorded means that no records were written: Count requests were served while the log could not be written.
+	Unrecorded bool
+	// Torn means that the missing records are from the end of an incarnation, and that no other record shows that they were
+	// durable. No wait for their durability had completed, so no attempt was sent on the basis of them.
 	Torn  bool
 	Count uint64
-	// The latest of them was written before At of an incarnation.
+	// Incarnation and At bound the time of the loss: the missing records were written before At of Incarnation.
 	Incarnation *Incarnation
 	At          time.Duration
 }
@@ -31,28 +32,30 @@
 	open        map[uint64]*Request
 	sweptAt     time.Duration // when open requests were last checked for those that should have ended
 
-	// Gaps of which it is not known yet whether they are a torn end, and complete requests that wait for that.
+	// gaps are the losses that may still turn out to be the torn end of the incarnation.
 	gaps    []DataLoss
-	pending []*Request
-	next    uint64 // the expected sequence number
+	pending []*Request // complete requests that are reported once gaps is empty
+	next    uint64     // the expected sequence number
 	started bool
 }
 
 const (
-	// lateRecordTime is how long after its deadline a request may still have records.
+	// lateRecordTime is how long after the deadline of a request further records of it may follow.
 	lateRecordTime = 30 * time.Second
 	sweepInterval  = lateRecordTime / 4
 )
 
-// NewIndex returns an index that reports each request as soon as all is known of it, and each loss as it is found.
+// NewIndex returns an index that calls onRequest for each request once no more records of it can follow, and onLoss for each
+// loss once it is known whether it is the torn end of an incarnation.
 func NewIndex(onRequest func(*Request), onLoss func(DataLoss)) *Index {
 	return &Index{onRequest: onRequest, onLoss: onLoss, open: map[uint64]*Request{}}
 }
 
-// BeginSegment starts a segment. Segments come in the order of their first records.
+// BeginSegment starts a segment. Segments must be added in the order of their first records. A further segment of the same
+// process begins with the first record that was not known to be durable, so all records before it are durable.
 func (x *Index) BeginSegment(h *segment.Header) {
 	if x.incarnation != nil && x.incarnation.Process == h.Process {
-		x.confirmDurable(h.FirstSeq - 1) // otherwise the segment would start with an earlier one
+		x.confirmDurable(h.FirstSeq - 1)
 	} else {
 		x.beginIncarnation(h)
 	}
@@ -61,8 +64,8 @@
 	}
 }
 
-// beginIncarnation ends the previous incarnation and starts another one. If the previous one had written more records than
-// remain, they are lost.
+// beginIncarnation ends the previous incarnation and starts the next one. Records are lost if the process of the next one found
+// records at its start that the log no longer has.
 func (x *Index) beginIncarnation(h *segment.Header) {
 	from := x.next
 	isLost := x.started && h.PreviousSeq >= x.next
@@ -83,7 +86,7 @@
 		Hashed:           h.Hashed,
 	}
 	x.next = h.FirstSeq
-	if isLost { // they were written before this incarnation started
+	if isLost { // At stays 0: the records were written before this incarnation started
 		x.onLoss(DataLoss{
 			From:        from,
 			To:          h.PreviousSeq,
@@ -94,19 +97,20 @@
 	}
 }
 
-// Incarnation returns the present incarnation.
+// Incarnation returns the current incarnation, or nil before the first segment.
 func (x *Index) Incarnation() *Incarnation { return x.incarnation }
 
 // Next returns the sequence number that the next record should have.
 func (x *Index) Next() uint64 { return x.next }
 
-// OpenRequests returns the number of requests of which more records may come.
+// OpenRequests returns the number of requests of which more records may follow.
 func (x *Index) OpenRequests() int { return len(x.open) }
 
-// AddRecord adds a record.
+// AddRecord adds the next record of the current segment. A record with a sequence number that was already read is ignored: after
+// a failed write or fsync the writer repeats all records that were not durable in a new segment.
 func (x *Index) AddRecord(seq uint64, r *segment.Record) {
 	if seq < x.next {
-		return // written again, as the first one was not trusted
+		return
 	}
 	if seq > x.next {
 		x.addGap(seq, r)
@@ -129,7 +133,8 @@
 	}
 }
 
-// addGap records that records are missing before one.
+// addGap records that the records between the expected sequence number and seq are missing. All open requests may have lost
+// records.
 func (x *Index) addGap(seq uint64, r *segment.Record) {
 	for _, request := range x.open {
 		if request.firstGap == 0 {
@@ -147,12 +152,12 @@
 	})
 }
 
-// addRequestRecord adds a record to its request.
+// addRequestRecord adds a record to its request, and completes the requests whose records have ended.
 func (x *Index) addRequestRecord(r *segment.Record) {
 	request := x.open[r.Request]
 	if request == nil {
 		request = &Request{Incarnation: x.incarnation, Number: r.Request, ReceivedAt: r.At}
-		request.RecordsLost = r.Kind != segment.Received // its first record is
+		request.RecordsLost = r.Kind != segment.Received // the first record of a request is Received
 		x.open[r.Request] = request
 	}
 	request.apply(r)
@@ -165,7 +170,7 @@
 	}
 }
 
-// sweep completes the open requests of which no more records will come, by number.
+// sweep completes the open requests for which isOver is true, in the order of their numbers.
 func (x *Index) sweep(recordsLost bool, isOver func(*Request) bool) {
 	var numbers []uint64
 	for n, r := range x.open {
@@ -181,7 +186,7 @@
 	}
 }
 
-// complete reports a request, or has it wait until the gaps are resolved.
+// complete reports a request, or keeps it pending while there are unresolved gaps.
 func (x *Index) complete(r *Request) {
 	delete(x.open, r.Number)
 	if len(x.gaps) > 0 {
@@ -191,7 +196,8 @@
 	x.onRequest(r)
 }
 
-// confirmDurable records that all records up to one were durable: those that are missing are lost.
+// confirmDurable records that all records up to seq were durable. Gaps among them are losses, and not the torn end of the
+// incarnation.
 func (x *Index) confirmDurable(seq uint64) {
 	if seq <= x.incarnation.DurableTo {
 		return
@@ -212,12 +218,12 @@
 	}
 }
 
-// confirmLoss marks a request of which records up to one are missing and were durable.
+// confirmLoss sets RecordsLost if records that were durable, up to seq, were missing while the request was open.
 func (r *Request) confirmLoss(seq uint64) {
 	r.RecordsLost = r.RecordsLost || r.firstGap > 0 && r.firstGap <= seq
 }
 
-// releasePending reports the requests that waited.
+// releasePending reports the pending requests.
 func (x *Index) releasePending() {
 	for _, r := range x.pending {
 		x.onRequest(r)
@@ -225,7 +231,8 @@
 	x.pending = nil
 }
 
-// endIncarnation ends the present incarnation: no more records of it will come.
+// endIncarnation ends the current incarnation, of which no more records will follow. Its unresolved gaps are its torn end, and
+// its open requests are complete.
 func (x *Index) endIncarnation() {
 	for _, gap := range x.gaps {
 		gap.Torn = true
@@ -237,7 +244,8 @@
 	x.sweptAt = 0
 }
 
-// Finish ends the log. Running means that its last process runs, so that open requests are in progress.
+// Finish ends the log and reports the remaining requests. Running means that the last process is still running, so that its open
+// requests are in progress.
 func (x *Index) Finish(running bool) {
 	if x.incarnation != nil {
 		x.incarnation.Running = running
--- a/internal/ledger/requesthistory/keys.go
+++ b/internal/ledger/requesthistory/keys.go
@@ -7,18 +7,19 @@
 	"silvertrail/lbpolicy"
 )
 
-// Clock is the present, by the clocks of the machine on which the log is read.
+// Clock is the current time, by the clocks of the machine on which the log is read.
 type Clock struct {
 	Time      time.Time
 	BootID    string
 	SinceBoot time.Duration
-	// MaxError is how far the wall clock may be off between two boots of the machine.
+	// MaxError bounds the error of the wall clock across a reboot of the machine.
 	MaxError time.Duration
 }
 
-// Ago returns the least and the largest time since a moment of an incarnation. Within one boot of the machine its monotonic
-// clock tells. Across a reboot there is only the wall clock: ok is false if that places the moment in the future.
-func (c Clock) Ago(i *Incarnation, at time.Duration) (least, most time.Duration, ok bool) {
+// Ago returns bounds of the time that has passed since a moment of an incarnation. Within one boot of the machine the monotonic
+// clock gives the exact time. Across a reboot the bounds come from the wall clock, with an error of MaxError. Then ok is false
+// if the moment is in the future by more than MaxError.
+func (c Clock) Ago(i *Incarnation, at time.Duration) (shortest, longest time.Duration, ok bool) {
 	if i.BootID != "" && i.BootID == c.BootID {
 		ago := max(c.SinceBoot-i.StartedSinceBoot-at, 0)
 		return ago, ago, true
@@ -30,22 +31,22 @@
 	return max(ago-c.MaxError, 0), max(ago+c.MaxError, 0), true
 }
 
-// EachKeyRecord calls f for each attempt that may have run, with what the key table has to remember. What is forgotten by now
-// is left out. A moment that cannot be placed in time counts as one whose window is over and whose key is still known:
-// repeats of the key then fail, which promises nothing.
+// EachKeyRecord calls f with the key record of each attempt that may have run, for the key table. Attempts whose retention is over
+// are left out. If it cannot be determined when an attempt was sent, its retry window counts as over and its key as still
+// known. Repeats of the key then fail, with a response that does not promise that the request never ran.
 func (r *Request) EachKeyRecord(now Clock, f func(idempotency.Record)) {
 	if r.KeyID == ([16]byte{}) {
 		return
 	}
 	for _, a := range r.PossiblyExecuted() {
 		terms := idempotency.Terms{Scope: lbpolicy.Scope(a.Scope), Window: a.Window, Retention: a.Retention}
-		least, most, ok := now.Ago(r.Incarnation, a.SentAt)
-		if least >= a.Window+a.Retention {
+		shortest, longest, ok := now.Ago(r.Incarnation, a.SentAt)
+		if shortest >= a.Window+a.Retention {
 			continue
 		}
 		retryUntil := now.Time
 		if ok {
-			retryUntil = now.Time.Add(terms.RetryWindow() - most)
+			retryUntil = now.Time.Add(terms.RetryWindow() - longest)
 		}
 		f(idempotency.Record{
 			ID: r.KeyID,
@@ -54,25 +55,25 @@
 				Place:      idempotency.Place{Cluster: a.Cluster, Zone: a.Zone, Cell: a.Cell},
 				RetryUntil: retryUntil,
 			},
-			ExpiresAt: now.Time.Add(a.Window + a.Retention - least),
+			ExpiresAt: now.Time.Add(a.Window + a.Retention - shortest),
 		})
 	}
 }
 
-// UncertainUntil returns until when endpoints may remember keys whose records a loss has taken, if they remember none for longer
-// than maxRetention. Zero: they remember none.
+// UncertainUntil returns until when endpoints may remember keys whose records were lost. Endpoints remember a key for at most
+// maxRetention. The zero time means that they remember no such key.
 func (l *DataLoss) UncertainUntil(now Clock, maxRetention time.Duration) time.Time {
 	if l.Torn {
 		return time.Time{}
 	}
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	if l.Incarnation != nil {
 		if ago, _, ok := now.Ago(l.Incarnation, l.At); ok {
-			least = ago
+			shortest = ago
 		}
 	}
-	if least >= maxRetention {
+	if shortest >= maxRetention {
 		return time.Time{}
 	}
-	return now.Time.Add(maxRetention - least)
+	return now.Time.Add(maxRetention - shortest)
 }
--- a/internal/ledger/requesthistory/request.go
+++ b/internal/ledger/requesthistory/request.go
@@ -1,9 +1,9 @@
-// Package requesthistory reconstructs from a ledger's records what became of each request: whether it ran, at which
-// endpoint it may have run, and what is not known because records are lost. It never guesses: where lost records could
-// tell, it says so. It does no I/O and reads no clock. An Index belongs to one reader.
+// Package requesthistory reconstructs the outcome of each request from the records of a ledger: whether the request ran, at which
+// endpoints it may have run, and whether records of it are lost. It never guesses. If lost records could change the
+// outcome, the verdict is Unclear. The package does no I/O and reads no clock. An Index belongs to one reader.
 //
-// It takes records in the order of the log, and returns each request when no more records of it can come, so that its
-// memory is bounded by the requests that were in progress at one time.
+// An Index takes records in the order of the log. It reports each request when no more records of it can follow, so that its
+// memory is bounded by the number of concurrent requests.
 package requesthistory
 
 import (
@@ -14,7 +14,7 @@
 	"silvertrail/internal/ledger/segment"
 )
 
-// Verdict is what is known of a request.
+// Verdict is the outcome of a request as far as the records show it.
 type Verdict uint8
 
 // The verdicts.
@@ -23,15 +23,15 @@
 	InProgress Verdict = iota
 	// Served means that an endpoint's response was sent to the client.
 	Served
-	// Executed means that an endpoint responded. That the client got the response is not recorded.
+	// Executed means that an endpoint responded. No record shows that the client got the response.
 	Executed
-	// Rejected means that it never ran, and the client was told that a retry is harmless.
+	// Rejected means that the request never ran, and that the response told the client that a retry is harmless.
 	Rejected
-	// NeverRan means that it never ran. The client was told of a failure, or nothing.
+	// NeverRan means that the request never ran. The client got an error response or none.
 	NeverRan
-	// MayHaveRun means that an attempt was sent, or about to be, and nothing tells what became of it.
+	// MayHaveRun means that an attempt was sent or about to be sent, and no record proves that it did not run.
 	MayHaveRun
-	// Unclear means that records of it are lost, and the others do not tell whether it ran.
+	// Unclear means that records of the request are lost, and the remaining ones do not show whether it ran.
 	Unclear
 )
 
@@ -40,12 +40,12 @@
 
 func (v Verdict) String() string { return verdictTexts[v] }
 
-// Name returns a verdict's name in exports.
+// Name returns the name of the verdict in exports.
 func (v Verdict) Name() string {
 	return [...]string{"open", "served", "ran", "refused", "never_ran", "may_have_run", "unclear"}[v]
 }
 
-// Incarnation is one process that wrote the log.
+// Incarnation is one run of a process that wrote the log.
 type Incarnation struct {
 	Process          uint64
 	Host             string
@@ -53,30 +53,30 @@
 	StartedAt        time.Time // by its wall clock
 	StartedSinceBoot time.Duration
 	Mode             string
-	Hashed           bool
-	// ClockShifts are changes of the wall clock while it ran, compared with the start.
+	Hashed           bool // tenants and keys are recorded as hashes
+	// ClockShifts are the changes of the wall clock while the process ran, oldest first.
 	ClockShifts   []ClockShift
 	CleanShutdown bool
 	Running       bool
-	LastRecord    time.Duration
-	DurableTo     uint64 // the last record that the process knew to be durable
+	LastRecord    time.Duration // since the process started
+	DurableTo     uint64        // sequence number of the last record that the process knew to be durable
 }
 
 // ClockShift is a change of the wall clock.
 type ClockShift struct {
 	At     time.Duration // since the process started
-	Offset time.Duration // compared with the start
+	Offset time.Duration // of the wall clock, relative to its setting at the start of the process
 }
 
-// Time returns the wall-clock time at a moment of an incarnation, as the process saw it.
+// Time returns the wall-clock time at a moment of the incarnation, as the clock of the machine showed it.
 func (i *Incarnation) Time(at time.Duration) time.Time {
-	by := time.Duration(0)
+	offset := time.Duration(0)
 	for _, shift := range i.ClockShifts {
 		if shift.At <= at {
-			by = shift.Offset
+			offset = shift.Offset
 		}
 	}
-	return i.StartedAt.Add(at + by)
+	return i.StartedAt.Add(at + offset)
 }
 
 // Attempt is one attempt of a request.
@@ -87,7 +87,7 @@
 	Cell              int
 	Scope             uint8
 	Window, Retention time.Duration
-	Intended          bool // its intent is recorded
+	Intended          bool // the Intent record of the attempt exists
 	SentAt            time.Duration
 	Ended             bool
 	EndedAt           time.Duration
@@ -108,7 +108,7 @@
 	return a.Ended && a.Responded && !a.NeverRan && a.Verdict == verdictOK
 }
 
-// Location describes the place of an attempt.
+// Location describes the endpoint of an attempt, with its cluster, zone and cell if they are known.
 func (a *Attempt) Location() string {
 	if a.Cluster == "" && a.Zone == "" {
 		return a.Endpoint
@@ -120,7 +120,7 @@
 type Request struct {
 	Incarnation *Incarnation
 	Number      uint64
-	Known       bool // its first record exists
+	Known       bool // the Received record exists
 	ID, Class   string
 	Key         string
 	Tenant      string
@@ -129,18 +129,18 @@
 	FromSite    string
 	ReceivedAt  time.Duration
 	TimeLeft    time.Duration
-	Attempts    []Attempt // by number
-	Answered    bool      // its final answer is recorded
+	Attempts    []Attempt // in the order of their numbers
+	Answered    bool      // the Final record exists
 	AnsweredAt  time.Duration
 	Ending      segment.Ending
 	Status      int
-	// RecordsLost means that records are missing from the time in which the request was in progress.
+	// RecordsLost means that records are missing from the time in which the request was in progress. They may be its own.
 	RecordsLost bool
 
-	firstGap uint64 // the first record that was missing while it was in progress
+	firstGap uint64 // sequence number of the first record that was missing while the request was open; 0: none
 }
 
-// Verdict returns what is known of the request.
+// Verdict derives the verdict from the records of the request.
 func (r *Request) Verdict() Verdict {
 	executed, mayHaveRun := false, false
 	for i := range r.Attempts {
@@ -158,7 +158,7 @@
 	case mayHaveRun:
 		return MayHaveRun
 	case r.RecordsLost && !wasRejected:
-		return Unclear // an attempt may be among what is lost
+		return Unclear // the record of an attempt may be lost
 	case wasRejected || r.Answered && r.Ending == segment.KeyConflict:
 		return Rejected
 	}
@@ -181,7 +181,7 @@
 	return attempts
 }
 
-// attempt returns the request's attempt of a number, which it adds if needed.
+// attempt returns the attempt with a number. It adds the attempt if there is none.
 func (r *Request) attempt(number int) *Attempt {
 	i, found := slices.BinarySearchFunc(r.Attempts, number, func(a Attempt, n int) int { return a.Number - n })
 	if !found {
@@ -190,7 +190,7 @@
 	return &r.Attempts[i]
 }
 
-// isComplete reports whether no more records of the request will come.
+// isComplete reports whether no more records of the request can follow.
 func (r *Request) isComplete() bool {
 	if !r.Known || !r.Answered {
 		return false
@@ -198,7 +198,7 @@
 	return !slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return !a.Ended || !a.Intended && !a.NeverRan })
 }
 
-// apply adds a record of the request.
+// apply updates the request from one of its records.
 func (r *Request) apply(record *segment.Record) {
 	switch record.Kind {
 	case segment.Received:
--- a/internal/ledger/requesthistory/view.go
+++ b/internal/ledger/requesthistory/view.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// View is a request in exports.
+// View is the exported form of a request.
 type View struct {
 	ID         string    `json:"id,omitempty"`
 	Class      string    `json:"class,omitempty"`
 	Tenant     string    `json:"tenant,omitempty"`
 	Key        string    `json:"key,omitempty"`
-	Hashed     bool      `json:"hashed,omitempty"` // tenant and key
+	Hashed     bool      `json:"hashed,omitempty"` // Tenant and Key are hashes
 	FromSite   string    `json:"from_sala,omitempty"`
 	Verdict    string    `json:"verdict"`
 	ReceivedAt time.Time `json:"taken"`
 	Deadline   time.Time `json:"deadline,omitzero"`
-	// ClockShifted means that the wall clock was set while the process ran: times before and after differ by more than they
-	// say.
+	// ClockShifted means that the wall clock was set while the process ran. The difference between a time before the change and
+	// one after it is then not the time that passed.
 	ClockShifted bool          `json:"clock_set,omitempty"`
 	Attempts     []AttemptView `json:"attempts,omitempty"`
-	Answer       string        `json:"answer,omitempty"` // what the client was told
+	Answer       string        `json:"answer,omitempty"` // how the request ended for the client
 	Status       int           `json:"status,omitempty"`
 	AnsweredAt   *time.Time    `json:"answered,omitempty"`
 	RecordsLost  bool          `json:"records_lost,omitempty"`
@@ -29,22 +29,22 @@
 	Process      string        `json:"process"`
 }
 
-// AttemptView is one attempt.
+// AttemptView is the exported form of an attempt.
 type AttemptView struct {
 	Number   int        `json:"number"`
 	Endpoint string     `json:"nodo"`
 	Cluster  string     `json:"cluster,omitempty"`
 	Zone     string     `json:"zone,omitempty"`
 	Cell     int        `json:"cell,omitempty"`
-	SentAt   time.Time  `json:"sent"` // when it was about to be sent
+	SentAt   time.Time  `json:"sent"` // when the attempt was about to be sent
 	EndedAt  *time.Time `json:"ended,omitempty"`
-	Outcome  string     `json:"outcome,omitempty"` // empty: none is recorded
+	Outcome  string     `json:"outcome,omitempty"` // empty: no outcome is recorded
 	Status   int        `json:"status,omitempty"`
-	// MayHaveRun is false if it is proven that it did not.
+	// MayHaveRun is false if the attempt is proven not to have run.
 	MayHaveRun bool `json:"may_have_run"`
 }
 
-// View returns the request as it is exported.
+// View returns the exported form of the request.
 func (r *Request) View() View {
 	i := r.Incarnation
 	v := View{
@@ -98,7 +98,7 @@
 	latencyRounding = 10 * time.Microsecond
 )
 
-// Text describes a request for people, in some lines.
+// Text returns a description of the request of several lines, as commands print it.
 func (r *Request) Text() string {
 	v := r.View()
 	var b strings.Builder
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-// origin describes where a request came from, and its deadline.
+// origin describes the class, tenant, key, site of origin and deadline of a request.
 func (v *View) origin() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  %s, tenant %s, key %s", v.Class, quoteOrNone(v.Tenant), quoteOrNone(v.Key))
@@ -161,7 +161,7 @@
 	return b.String()
 }
 
-// answerText describes what the client was told.
+// answerText describes the response that the client got, if any.
 func (r *Request) answerText(v View) string {
 	switch {
 	case r.Answered && r.Status != 0:
