--- a/internal/ledger/segment/encode.go
+++ b/internal/ledger/segment/encode.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// The field numbers of a record. A number is never reused for another field; readers ignore unknown ones.
+// The field numbers of a record. A number is never reused for another field. Readers ignore unknown numbers.
 const (
 	fieldKind protowire.Number = iota + 1
 	fieldAt
@@ -57,7 +57,7 @@
 	headerHashed
 )
 
-// Bounds of the values that are read.
+// Upper bounds to which decoded numbers are clamped.
 const (
 	maxByte    = 255
 	maxAttempt = 1 << 30
@@ -138,7 +138,7 @@
 
 var errInvalidFields = errors.New("fields that can't be read")
 
-// eachField calls f for each field that is a number or a text.
+// eachField calls f for each varint or bytes field of an encoded message. Text is nil for a varint. Other wire types are skipped.
 func eachField(b []byte, f func(field protowire.Number, v uint64, text []byte)) error {
 	for len(b) > 0 {
 		field, wireType, size := protowire.ConsumeTag(b)
@@ -172,7 +172,7 @@
 	return time.Duration(protowire.DecodeZigZag(v)) * time.Microsecond
 }
 
-// parse parses an encoded record. Intern returns texts that are repeated often.
+// parse parses an encoded record. Texts that are repeated often are converted by intern.
 func (r *Record) parse(b []byte, intern func([]byte) string) error {
 	*r = Record{}
 	err := eachField(b, func(field protowire.Number, v uint64, text []byte) {
--- a/internal/ledger/segment/format_test.go
+++ b/internal/ledger/segment/format_test.go
@@ -9,48 +9,49 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// A segment with a record of every kind is written as recorded, and a recorded one is read as the same records.
+// A segment with one record of every kind is encoded as in the golden file, and the golden file is read as the same header and
+// records.
 func TestSegmentFormat(t *testing.T) {
 	const salt = 0x2122232425262728
 	var header Header
 	golden.Fill(&header)
 	header.Salt = salt
-	var all []*Record
+	var records []*Record
 	for kind := Received; kind <= Shutdown; kind++ {
 		r := &Record{}
 		golden.Fill(r)
 		r.Kind = kind
-		all = append(all, r)
+		records = append(records, r)
 	}
 	b := AppendHeader(nil, salt, &header)
-	at := len(b)
-	for i, r := range all {
+	headerBytes := len(b)
+	for i, r := range records {
 		var err error
 		if b, err = AppendFrame(b, uint64(i+1), r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	Seal(b[at:], salt)
+	Seal(b[headerBytes:], salt)
 	recorded := golden.Binary(t, "segment.hex", b)
 	got, s, err := scanAll(bytes.NewReader(recorded))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s.Header, header) || len(s.Damage) > 0 {
-		t.Errorf("header %+v with damage %v, want %+v", s.Header, s.Damage, header)
+		t.Errorf("header is read as %+v with damage %v, want %+v and no damage", s.Header, s.Damage, header)
 	}
-	if len(got) != len(all) {
-		t.Fatalf("%d records, want %d", len(got), len(all))
+	if len(got) != len(records) {
+		t.Fatalf("%d records are read, want %d", len(got), len(records))
 	}
 	for i, r := range got {
-		if r.seq != uint64(i+1) || !reflect.DeepEqual(&r.r, all[i]) {
-			t.Errorf("record %d is read as %+v, want %+v", r.seq, r.r, *all[i])
+		if r.seq != uint64(i+1) || !reflect.DeepEqual(&r.r, records[i]) {
+			t.Errorf("record %d is read as %+v, want %+v", r.seq, r.r, *records[i])
 		}
 	}
 }
 
-// The names of kinds and endings stand in what commands print.
-func TestNames(t *testing.T) {
+// Commands print the names of kinds and endings, so they stay as in the golden file.
+func TestKindAndEndingNamesMatchGoldenFile(t *testing.T) {
 	var names []string
 	for kind := Received; kind <= Shutdown; kind++ {
 		names = append(names, kind.String())
--- a/internal/ledger/segment/record.go
+++ b/internal/ledger/segment/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind is the kind of a record. The numbers are part of the format.
+// Kind is the kind of a record. The numbers are part of the file format.
 type Kind uint8
 
 // The kinds.
@@ -13,10 +13,10 @@
 	Received   Kind = iota + 1 // a request was received
 	Intent                     // an attempt is about to be sent
 	Outcome                    // an attempt has ended
-	Final                      // the request has its one answer
+	Final                      // the request has ended
 	ClockShift                 // the wall clock was set
-	Unrecorded                 // requests were served without records
-	Shutdown                   // the process has ended cleanly
+	Unrecorded                 // a number of requests were served without records
+	Shutdown                   // the process has shut down cleanly
 )
 
 func (k Kind) String() string {
@@ -26,16 +26,16 @@
 	return [...]string{"taken", "intent", "outcome", "final", "clock", "missed", "closed"}[k-1]
 }
 
-// Ending is the answer to a request. The numbers are part of the format.
+// Ending is how a request ended for the client. The numbers are part of the file format.
 type Ending uint8
 
 // The endings.
 const (
-	Served       Ending = iota + 1 // the response of an endpoint, or of another site
-	Rejected                       // 503, 429: a retry is harmless
-	Failed                         // it promises nothing
-	Disconnected                   // the client had disconnected
-	KeyConflict                    // the key belongs to another request, or one with it is in progress: nothing was sent
+	Served       Ending = iota + 1 // with the response of an endpoint or of another site
+	Rejected                       // with status 503 or 429: a retry is harmless
+	Failed                         // with an error that does not promise that the request never ran
+	Disconnected                   // without a response, as the client had disconnected
+	KeyConflict                    // no attempt was sent: the key belongs to another request, or a request with it is in progress
 )
 
 func (e Ending) String() string {
@@ -45,22 +45,22 @@
 	return [...]string{"served", "refused", "failed", "caller gone", "turned away"}[e-1]
 }
 
-// Record is one record. The kind determines which fields are used; the others are zero.
+// Record is one record of the ledger. The kind determines which fields are used. The others are zero.
 type Record struct {
 	Kind    Kind
-	At      time.Duration // since the process started, by a monotonic clock
+	At      time.Duration // time since the process started, by a monotonic clock
 	Request uint64        // the number of the request in its process
-	// DurableLag is the number of records between the last one that was known to be durable and this one. Zero: unknown.
+	// DurableLag is the sequence number of this record minus that of the last record known to be durable. Zero: unknown.
 	DurableLag uint64
 
 	// Received:
 	ID, Class   string
 	Key         string   // plain, or its keyed hash
 	Tenant      string   // plain, or its keyed hash
-	KeyID       [16]byte // of tenant and key, or its keyed hash
-	Fingerprint [16]byte // of the request's content, or its keyed hash; zero: it is not checked
+	KeyID       [16]byte // the ID of tenant and key, or its keyed hash
+	Fingerprint [16]byte // the fingerprint of the request's content, or its keyed hash; zero: the content is not checked
 	TimeLeft    time.Duration
-	FromSite    string // that forwarded it; empty: a client sent it
+	FromSite    string // the site that forwarded the request; empty: a client sent it
 
 	// Intent:
 	Attempt           int
@@ -71,33 +71,34 @@
 	Window, Retention time.Duration
 
 	// Outcome, Final:
-	NeverRan  bool   // proof that the attempt was not executed
-	Responded bool   // a response was received
-	Verdict   string // of the policy
+	NeverRan  bool   // the attempt is proven not to have run
+	Responded bool   // the endpoint sent a response
+	Verdict   string // the policy's verdict on the attempt
 	Status    int
 	Ending    Ending
 
-	// ClockShift: the wall clock at At, in Unix microseconds. Unrecorded: how many requests, the last of them at At.
+	// ClockShift: WallTime is the wall clock at At, in Unix microseconds.
+	// Unrecorded: Count requests were served without records, the first at Since and the last at At.
 	WallTime int64
 	Count    uint64
-	Since    time.Duration // the first of them
+	Since    time.Duration // since the process started, as At
 }
 
-// Header begins a segment.
+// Header is the header of a segment. It describes the segment and the process that wrote it.
 type Header struct {
-	Salt uint64 // stands before the encoded fields
+	Salt uint64 // stored before the encoded fields
 
 	LedgerID          uint64
-	Number            uint64 // of the segment
+	Number            uint64 // the number of the segment
 	FirstSeq          uint64
-	PreviousSeq       uint64 // the last record found at the start of the process: numbers up to its own first were never used
+	PreviousSeq       uint64 // the last record found when the process started; numbers between it and the first of the process are unused
 	Process           uint64
 	Host              string
 	BootID            string
-	StartedAt         int64 // the process, in Unix microseconds
-	StartedSinceBoot  int64 // the process, in microseconds
-	CreatedAt         int64 // the segment, in Unix microseconds
-	CreatedSinceStart int64 // the segment, in microseconds
+	StartedAt         int64 // start of the process, in Unix microseconds
+	StartedSinceBoot  int64 // time from the boot of the machine to the start of the process, in microseconds
+	CreatedAt         int64 // creation of the segment, in Unix microseconds
+	CreatedSinceStart int64 // time from the start of the process to the creation of the segment, in microseconds
 	Mode              string
-	Hashed            bool // keys and tenants
+	Hashed            bool // keys and tenants are recorded as keyed hashes
 }
--- a/internal/ledger/segment/scanner.go
+++ b/internal/ledger/segment/scanner.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	readBufferBytes = 256 << 10 // bytes of a file that are held in memory while it is read
-	maxInterned     = 4 << 10   // texts
-	zeroBlockBytes  = 4 << 10   // bytes that are skipped at once where a file is empty
+	readBufferBytes = 256 << 10 // bytes of the file that are held in memory
+	maxInterned     = 4 << 10   // maximum number of texts that are cached for reuse
+	zeroBlockBytes  = 4 << 10   // bytes that are skipped at once where the file contains only zeros
 )
 
-// Damage is a part of a segment that is not valid.
+// Damage is a part of a segment that contains no valid record or header copy.
 type Damage struct {
-	From, To int64  // offsets
-	After    uint64 // the last valid record before it, or 0
-	Before   uint64 // the first valid record after it, or 0: it extends to the segment's end
+	From, To int64  // offsets in bytes; To is excluded
+	After    uint64 // sequence number of the last valid record before the damage, or 0
+	Before   uint64 // sequence number of the first valid record after the damage; 0: the damage extends to the end of the segment
 	Reason   string
-	IsHeader bool // it is a copy of the header
+	IsHeader bool // the damaged part is a copy of the header
 }
 
 func (d Damage) String() string {
 	return fmt.Sprintf("bytes %d to %d: %s", d.From, d.To, d.Reason)
 }
 
-// Scanner reads a segment's records. Its memory does not grow with the file.
+// Scanner reads the records of a segment. Its memory does not grow with the size of the file.
 type Scanner struct {
 	Header Header
-	// Damage is what was found not to be valid so far.
+	// Damage lists the damaged parts found so far.
 	Damage []Damage
 
 	reader     *bufio.Reader
@@ -39,12 +39,12 @@
 	offset     int64
 	lastSeq    uint64
 	record     Record
-	frameBytes int // of the present record
+	frameBytes int // size of the frame that the last call of Next returned
 
 	internedTexts map[string]string
 }
 
-// intern returns a text that is repeated often, as one string.
+// intern returns the string of a text. Equal texts share one string, since many records repeat the same names.
 func (s *Scanner) intern(b []byte) string {
 	if known, ok := s.internedTexts[string(b)]; ok {
 		return known
@@ -60,7 +60,7 @@
 	return text
 }
 
-// NewScanner reads a segment's header.
+// NewScanner reads the header of a segment and returns a scanner of its records.
 func NewScanner(r io.Reader) (*Scanner, error) {
 	s := &Scanner{reader: bufio.NewReaderSize(r, readBufferBytes)}
 	b, _ := s.reader.Peek(2 * (prologueBytes + maxHeaderBytes))
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// readHeader reads the header by its first copy, or by the second one, and returns the size of both.
+// readHeader reads the header from its first copy, or from the second one if the first is damaged. It returns the size of both.
 func (s *Scanner) readHeader(b []byte) (size int, err error) {
 	h, size, err := parseHeader(b)
 	if err != nil {
@@ -86,7 +86,8 @@
 	return min(2*size, len(b)), nil
 }
 
-// readSecondHeader looks for the second copy of a header. Without one it returns the error of the first copy.
+// readSecondHeader searches for the second copy of the header, whose offset must equal its size. If there is none, it returns the
+// error of the first copy.
 func (s *Scanner) readSecondHeader(b []byte, firstErr error) (size int, err error) {
 	for at := alignment; at+prologueBytes <= len(b); at += alignment {
 		h, size, err := parseHeader(b[at:])
@@ -99,22 +100,22 @@
 	return 0, firstErr
 }
 
-// invalidRun is a part of a segment, before the next valid record, that is not valid.
+// invalidRun is the part of a segment since the last valid record that contains no valid frame.
 type invalidRun struct {
-	from    int64 // -1: there is none
-	isEmpty bool  // it holds only zeros
+	from    int64 // offset; -1: there is no such part
+	isEmpty bool  // it contains only zeros
 	reason  string
 }
 
-// begin adds the present offset.
+// begin starts the run at an offset, unless it has started before.
 func (v *invalidRun) begin(offset int64) {
 	if v.from < 0 {
 		v.from = offset
 	}
 }
 
-// Next reads the next valid record; ok is false if there is none. A valid frame whose record cannot be parsed counts as
-// damage.
+// Next reads the next valid record. ok is false if there is none. A frame with a valid checksum counts as damage if its record
+// cannot be parsed, or if its sequence number is not larger than that of the record before it.
 func (s *Scanner) Next() (seq uint64, r *Record, ok bool) {
 	s.skip(s.frameBytes)
 	s.frameBytes = 0
@@ -158,8 +159,8 @@
 	s.offset += int64(n)
 }
 
-// validFrame returns the frame at the present offset if its checksum is valid, else nil. Padding that is cut off at the end of
-// the file is not part of it.
+// validFrame returns the frame at the current offset if its checksum is valid, else nil. A frame whose padding is cut off by the
+// end of the file is valid, and is returned without the missing padding.
 func (s *Scanner) validFrame(head []byte) []byte {
 	length := int(binary.LittleEndian.Uint32(head[payloadLengthOffset:]))
 	if length == 0 || length > MaxPayload {
@@ -175,14 +176,14 @@
 	return frame
 }
 
-// parseFrame parses the record of a valid frame.
+// parseFrame parses the record of a frame whose checksum is valid.
 func (s *Scanner) parseFrame(frame []byte) (seq uint64, err error) {
 	length := int(binary.LittleEndian.Uint32(frame[payloadLengthOffset:]))
 	seq = binary.LittleEndian.Uint64(frame[seqOffset:])
 	return seq, s.record.parse(frame[frameHeadBytes:frameHeadBytes+length], s.intern)
 }
 
-// recordDamage records what is invalid before a record.
+// recordDamage records the damage, if any, before the valid record with a sequence number.
 func (s *Scanner) recordDamage(v invalidRun, seq uint64) {
 	if v.from < 0 {
 		return
@@ -194,7 +195,8 @@
 	s.Damage = append(s.Damage, Damage{From: v.from, To: s.offset, After: s.lastSeq, Before: seq, Reason: reason})
 }
 
-// recordTail records what is invalid after the last record, unless it is space that was never written.
+// recordTail records the damage after the last valid record. Zeros up to the end of the file are preallocated space that was
+// never written, and not damage. A read error is damage.
 func (s *Scanner) recordTail(v invalidRun, rest int64, err error) {
 	if err != nil && !errors.Is(err, io.EOF) {
 		s.Damage = append(s.Damage, Damage{From: s.offset, To: s.offset + rest, After: s.lastSeq, Reason: "can't be read: " + err.Error()})
@@ -209,8 +211,8 @@
 
 var zeroBytes [zeroBlockBytes]byte
 
-// atZeros reports whether a long run of zeros follows. A frame that starts within it is not skipped: the run is aligned, and a
-// frame's first eight bytes are never all zero, as its length is not.
+// atZeros reports whether a block of zeros follows that can be skipped at once. No frame starts within such a block: frames are
+// aligned to 8 bytes, and the first 8 bytes of a frame contain its length, which is never zero.
 func (s *Scanner) atZeros() bool {
 	b, _ := s.reader.Peek(zeroBlockBytes)
 	return len(b) == zeroBlockBytes && bytes.Equal(b, zeroBytes[:])
--- a/internal/ledger/segment/segment.go
+++ b/internal/ledger/segment/segment.go
@@ -1,8 +1,9 @@
-// Package segment is the file format of the ledger, byte for byte (docs/LEDGER.md). It encodes records as frames, and reads
-// from a file the records that are valid, and what between them is not. It reads no clock and opens no files.
+// Package segment implements the file format of the ledger, which docs/LEDGER.md specifies byte for byte. It encodes records as
+// frames. From a file it reads the valid records, and reports the parts between them that are damaged. It reads no clock
+// and opens no files.
 //
-// A frame is valid by a checksum that starts with a random number of its segment. So neither what an earlier file has left
-// on the disk, nor what a client has put into a key, is ever taken for a record.
+// A frame is valid if its checksum is. The checksum starts with the salt, a random number of the segment. So neither data that
+// an earlier file has left on the disk, nor bytes that a client has put into a key, are ever read as a record.
 package segment
 
 import (
@@ -14,13 +15,13 @@
 )
 
 const (
-	// Version is the version of the format. A segment of a newer one is skipped and reported.
+	// Version is the version of the format. Readers skip and report a segment of a newer version.
 	Version = 1
 
-	// MaxPayload bounds an encoded record.
+	// MaxPayload is the maximum size of an encoded record in bytes.
 	MaxPayload = 4 << 10
 
-	// HeaderReserve is the space that a header takes in nearly all cases.
+	// HeaderReserve is the space in bytes that suffices for a header in nearly all cases.
 	HeaderReserve = 512
 
 	prologueBytes  = 32
@@ -29,7 +30,7 @@
 	alignment      = 8
 )
 
-// The layout of the prologue, which is followed by the encoded header and padding.
+// The offsets of the prologue's fields. The encoded header and padding follow the prologue.
 const (
 	versionOffset  = 8 // after the magic bytes
 	lengthOffset   = 12
@@ -37,7 +38,7 @@
 	checksumOffset = 24
 )
 
-// The layout of a frame's head, which is followed by the encoded record and padding.
+// The offsets of the fields in a frame's head. The encoded record and padding follow the head.
 const (
 	payloadLengthOffset = 4 // after the checksum
 	seqOffset           = 8
@@ -47,13 +48,13 @@
 	magic    = [8]byte{'S', 'T', 'L', 'E', 'D', 'G', 'E', 'R'}
 	crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-	// ErrForeign means that a file is no segment, or that its header is damaged.
+	// ErrForeign means that a file is not a segment, or that both copies of its header are damaged.
 	ErrForeign = errors.New("segment: no header that can be read")
-	// ErrNewer means that a later version has written the segment.
+	// ErrNewer means that the segment has a newer format version.
 	ErrNewer = errors.New("segment: of a newer format")
 )
 
-// checksum returns the CRC-32C of a segment's frame or header, which starts with the salt of the segment.
+// checksum returns the CRC-32C of the salt of a segment, followed by the parts of a frame or header.
 func checksum(salt uint64, parts ...[]byte) uint32 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], salt)
@@ -64,22 +65,23 @@
 	return sum
 }
 
+// padded rounds a length up to a multiple of the alignment.
 func padded(n int) int { return (n + alignment - 1) / alignment * alignment }
 
-// AppendHeader appends a segment's first bytes: its header, twice, as nothing of the segment can be read without it. The salt
-// must be a random number of this segment only.
+// AppendHeader appends two copies of a segment's header, since no record of the segment can be read without a header. The salt
+// must be a random number that no other segment uses.
 func AppendHeader(b []byte, salt uint64, h *Header) []byte {
-	text := h.append(nil)
+	fields := h.append(nil)
 	start := len(b)
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint16(b, Version)
 	b = binary.LittleEndian.AppendUint16(b, 0)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(fields)))
 	b = binary.LittleEndian.AppendUint64(b, salt)
-	b = binary.LittleEndian.AppendUint32(b, checksum(salt, b[start:start+checksumOffset], text))
+	b = binary.LittleEndian.AppendUint32(b, checksum(salt, b[start:start+checksumOffset], fields))
 	b = binary.LittleEndian.AppendUint32(b, 0)
-	b = append(b, text...)
-	b = append(b, make([]byte, padded(len(text))-len(text))...)
+	b = append(b, fields...)
+	b = append(b, make([]byte, padded(len(fields))-len(fields))...)
 	return append(b, b[start:]...)
 }
 
@@ -97,30 +99,30 @@
 		return h, 0, ErrForeign
 	}
 	salt := binary.LittleEndian.Uint64(b[saltOffset:])
-	text := b[prologueBytes : prologueBytes+length]
-	isValid := binary.LittleEndian.Uint32(b[checksumOffset:]) == checksum(salt, b[:checksumOffset], text)
-	if version == 0 || !isValid || h.parse(text) != nil {
+	fields := b[prologueBytes : prologueBytes+length]
+	isValid := binary.LittleEndian.Uint32(b[checksumOffset:]) == checksum(salt, b[:checksumOffset], fields)
+	if version == 0 || !isValid || h.parse(fields) != nil {
 		return h, 0, ErrForeign
 	}
 	h.Salt = salt
 	return h, prologueBytes + padded(length), nil
 }
 
-// AppendFrame appends a record's frame without its checksum, which Seal adds once the segment is known.
+// AppendFrame appends the frame of a record without its checksum. Seal adds the checksum once the salt of the segment is known.
 func AppendFrame(b []byte, seq uint64, r *Record) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, frameHeadBytes)...)
 	b = r.append(b)
 	length := len(b) - start - frameHeadBytes
 	if length > MaxPayload {
-		return b[:start], fmt.Errorf("segment: a record of %d bytes", length)
+		return b[:start], fmt.Errorf("segment: encoded record of %d bytes exceeds MaxPayload", length)
 	}
 	binary.LittleEndian.PutUint32(b[start+payloadLengthOffset:], uint32(length))
 	binary.LittleEndian.PutUint64(b[start+seqOffset:], seq)
 	return append(b, make([]byte, padded(length)-length)...), nil
 }
 
-// FirstFrame returns the sequence number of the first of consecutive frames, and its size; 0 if there is none.
+// FirstFrame returns the sequence number and the size of the first of consecutive frames, or zeros if there is none.
 func FirstFrame(frames []byte) (seq uint64, size int) {
 	if len(frames) < frameHeadBytes {
 		return 0, 0
@@ -129,7 +131,7 @@
 	return binary.LittleEndian.Uint64(frames[seqOffset:]), frameHeadBytes + padded(length)
 }
 
-// Seal sets the checksums of consecutive frames, for the segment with a salt.
+// Seal sets the checksums of consecutive frames for the segment with the given salt.
 func Seal(frames []byte, salt uint64) {
 	for len(frames) > 0 {
 		_, size := FirstFrame(frames)
