--- a/internal/ledger/requesthistory/index.go
+++ b/internal/ledger/requesthistory/index.go
@@ -119,15 +119,15 @@
 		x.confirmDurable(seq - r.DurableLag)
 	}
 	x.next = seq + 1
-	i := x.incarnation
-	i.LastRecord = max(i.LastRecord, r.At)
+	incarnation := x.incarnation
+	incarnation.LastRecord = max(incarnation.LastRecord, r.At)
 	switch r.Kind {
 	case segment.ClockShift:
-		i.ClockShifts = append(i.ClockShifts, ClockShift{At: r.At, Offset: time.UnixMicro(r.WallTime).Sub(i.StartedAt.Add(r.At))})
+		incarnation.ClockShifts = append(incarnation.ClockShifts, ClockShift{At: r.At, Offset: time.UnixMicro(r.WallTime).Sub(incarnation.StartedAt.Add(r.At))})
 	case segment.Unrecorded:
-		x.onLoss(DataLoss{Unrecorded: true, Count: r.Count, After: i.Time(r.Since), Before: i.Time(r.At), Incarnation: i, At: r.At})
+		x.onLoss(DataLoss{Unrecorded: true, Count: r.Count, After: incarnation.Time(r.Since), Before: incarnation.Time(r.At), Incarnation: incarnation, At: r.At})
 	case segment.Shutdown:
-		i.CleanShutdown = true
+		incarnation.CleanShutdown = true
 	case segment.Received, segment.Intent, segment.Outcome, segment.Final:
 		x.addRequestRecord(r)
 	}
@@ -141,13 +141,13 @@
 			request.firstGap = x.next
 		}
 	}
-	i := x.incarnation
+	incarnation := x.incarnation
 	x.gaps = append(x.gaps, DataLoss{
 		From:        x.next,
 		To:          seq - 1,
-		After:       i.Time(i.LastRecord),
-		Before:      i.Time(r.At),
-		Incarnation: i,
+		After:       incarnation.Time(incarnation.LastRecord),
+		Before:      incarnation.Time(r.At),
+		Incarnation: incarnation,
 		At:          r.At,
 	})
 }
--- a/internal/ledger/requesthistory/view.go
+++ b/internal/ledger/requesthistory/view.go
@@ -46,48 +46,48 @@
 
 // View returns the exported form of the request.
 func (r *Request) View() View {
-	i := r.Incarnation
+	incarnation := r.Incarnation
 	v := View{
 		ID:           r.ID,
 		Class:        r.Class,
 		Tenant:       r.Tenant,
 		Key:          r.Key,
-		Hashed:       i.Hashed,
+		Hashed:       incarnation.Hashed,
 		FromSite:     r.FromSite,
 		Verdict:      r.Verdict().Name(),
-		ReceivedAt:   i.Time(r.ReceivedAt),
-		ClockShifted: len(i.ClockShifts) > 0,
+		ReceivedAt:   incarnation.Time(r.ReceivedAt),
+		ClockShifted: len(incarnation.ClockShifts) > 0,
 		RecordsLost:  r.RecordsLost,
-		Host:         i.Host,
-		Process:      fmt.Sprintf("%016x", i.Process),
+		Host:         incarnation.Host,
+		Process:      fmt.Sprintf("%016x", incarnation.Process),
 	}
 	if r.Known {
-		v.Deadline = i.Time(r.ReceivedAt + r.TimeLeft)
+		v.Deadline = incarnation.Time(r.ReceivedAt + r.TimeLeft)
 	}
 	for n := range r.Attempts {
-		v.Attempts = append(v.Attempts, r.Attempts[n].view(i))
+		v.Attempts = append(v.Attempts, r.Attempts[n].view(incarnation))
 	}
 	if r.Answered {
-		at := i.Time(r.AnsweredAt)
+		at := incarnation.Time(r.AnsweredAt)
 		v.Answer, v.Status, v.AnsweredAt = r.Ending.String(), r.Status, &at
 	}
 	return v
 }
 
-func (a *Attempt) view(i *Incarnation) AttemptView {
+func (a *Attempt) view(incarnation *Incarnation) AttemptView {
 	v := AttemptView{
 		Number:     a.Number,
 		Endpoint:   a.Endpoint,
 		Cluster:    a.Cluster,
 		Zone:       a.Zone,
 		Cell:       a.Cell,
-		SentAt:     i.Time(a.SentAt),
+		SentAt:     incarnation.Time(a.SentAt),
 		Outcome:    a.Verdict,
 		Status:     a.Status,
 		MayHaveRun: a.mayHaveRun(),
 	}
 	if a.Ended {
-		at := i.Time(a.EndedAt)
+		at := incarnation.Time(a.EndedAt)
 		v.EndedAt = &at
 	}
 	return v
