--- a/internal/ledger/segment/segment.go
+++ b/internal/ledger/segment/segment.go
@@ -50,8 +50,8 @@
 
 	// ErrForeign means that a file is not a segment, or that both copies of its header are damaged.
 	ErrForeign = errors.New("segment: no header that can be read")
-	// ErrNewer means that the segment has a newer format version.
-	ErrNewer = errors.New("segment: of a newer format")
+	// ErrUnsupportedVersion means that the segment has a newer format version.
+	ErrUnsupportedVersion = errors.New("segment: of a newer format")
 )
 
 // checksum returns the CRC-32C of the salt of a segment, followed by the parts of a frame or header.
@@ -93,7 +93,7 @@
 	version := binary.LittleEndian.Uint16(b[versionOffset:])
 	length := int(binary.LittleEndian.Uint32(b[lengthOffset:]))
 	if version > Version {
-		return h, 0, fmt.Errorf("%w: %d", ErrNewer, version)
+		return h, 0, fmt.Errorf("%w: %d", ErrUnsupportedVersion, version)
 	}
 	if length > maxHeaderBytes || len(b) < prologueBytes+padded(length) {
 		return h, 0, ErrForeign
--- a/internal/ledger/segment/segment_test.go
+++ b/internal/ledger/segment/segment_test.go
@@ -107,7 +107,7 @@
 		t.Helper()
 		got, s, err := scanAll(bytes.NewReader(b))
 		if err != nil {
-			if !errors.Is(err, ErrForeign) && !errors.Is(err, ErrNewer) || maxLost == 0 {
+			if !errors.Is(err, ErrForeign) && !errors.Is(err, ErrUnsupportedVersion) || maxLost == 0 {
 				t.Fatalf("%s at byte %d: unexpected error %v", damage, at, err)
 			}
 			return
@@ -164,7 +164,7 @@
 	// Both copies of the header have a newer version.
 	header := AppendHeader(nil, 1, &Header{LedgerID: 1})
 	header[8], header[len(header)/2+8] = 9, 9
-	if _, err := NewScanner(bytes.NewReader(header)); !errors.Is(err, ErrNewer) {
+	if _, err := NewScanner(bytes.NewReader(header)); !errors.Is(err, ErrUnsupportedVersion) {
 		t.Errorf("header of a newer version: got error %v, want ErrNewer", err)
 	}
 	if _, err := AppendFrame(nil, 1, &Record{Kind: Received, Key: string(make([]byte, MaxPayload))}); err == nil {
