--- a/internal/ledger/disk/disk_test.go
+++ b/internal/ledger/disk/disk_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A directory is locked once at a time, and IsLocked does not acquire the lock. A lock is not valid any more when its file
+// Only one lock on a directory is held at a time, and IsLocked does not acquire the lock. A lock is not valid any more when its file
 // was removed or replaced by the file of another lock.
 func TestLockIsExclusiveAndInvalidWithoutItsFile(t *testing.T) {
 	d := Dir(t.TempDir())
--- a/internal/ledger/requesthistory/index.go
+++ b/internal/ledger/requesthistory/index.go
@@ -30,7 +30,7 @@
 
 	incarnation *Incarnation
 	open        map[uint64]*Request
-	sweptAt     time.Duration // when open requests were last checked for those that should have ended
+	sweptAt     time.Duration // time of the last check for open requests that are long past their deadline
 
 	// gaps are the losses that may still turn out to be the torn end of the incarnation.
 	gaps    []DataLoss
@@ -152,7 +152,8 @@
 	})
 }
 
-// addRequestRecord adds a record to its request, and completes the requests whose records have ended.
+// addRequestRecord adds a record to its request. It completes the request if no more records of it can follow, and from time to
+// time also the requests that are open for longer than lateRecordTime after their deadline.
 func (x *Index) addRequestRecord(r *segment.Record) {
 	request := x.open[r.Request]
 	if request == nil {
--- a/internal/ledger/requesthistory/request.go
+++ b/internal/ledger/requesthistory/request.go
@@ -1,6 +1,7 @@
 // Package requesthistory reconstructs the outcome of each request from the records of a ledger: whether the request ran, at which
-// endpoints it may have run, and whether records of it are lost. It never guesses. If lost records could change the
-// outcome, the verdict is Unclear. The package does no I/O and reads no clock. An Index belongs to one reader.
+// endpoints it may have run, and whether records of it are lost. It never guesses. If records are lost and the remaining ones
+// do not show whether a request ran, the verdict is MayHaveRun or Unclear. The package does no I/O and reads no clock.
+// An Index belongs to one reader.
 //
 // An Index takes records in the order of the log. It reports each request when no more records of it can follow, so that its
 // memory is bounded by the number of concurrent requests.
--- a/internal/ledger/requesthistory/view.go
+++ b/internal/ledger/requesthistory/view.go
@@ -137,7 +137,7 @@
 	return b.String()
 }
 
-// text describes an attempt.
+// text returns the line of Text about an attempt.
 func (a *Attempt) text(v AttemptView) string {
 	switch {
 	case !a.Intended:
--- a/internal/ledger/segment/record.go
+++ b/internal/ledger/segment/record.go
@@ -31,10 +31,10 @@
 
 // The endings.
 const (
-	Served       Ending = iota + 1 // with the response of an endpoint or of another site
-	Rejected                       // with status 503 or 429: a retry is harmless
-	Failed                         // with an error that does not promise that the request never ran
-	Disconnected                   // without a response, as the client had disconnected
+	Served       Ending = iota + 1 // the client got the response of an endpoint or of another site
+	Rejected                       // the client got status 503 or 429: a retry is harmless
+	Failed                         // the client got an error that does not promise that the request never ran
+	Disconnected                   // the client had disconnected and got no response
 	KeyConflict                    // no attempt was sent: the key belongs to another request, or a request with it is in progress
 )
 
@@ -91,7 +91,7 @@
 	LedgerID          uint64
 	Number            uint64 // the number of the segment
 	FirstSeq          uint64
-	PreviousSeq       uint64 // the last record found when the process started; numbers between it and the first of the process are unused
+	PreviousSeq       uint64 // the last record found when the process started; numbers between it and the first record of the process are unused
 	Process           uint64
 	Host              string
 	BootID            string
