--- a/internal/edge/admission/allocation.go
+++ b/internal/edge/admission/allocation.go
@@ -51,14 +51,14 @@
 	var heaviest *source
 	var oldest *Conn
 	for _, g := range ctl.groups {
-		if !from(g) || len(g.heaviest) == 0 {
+		if !from(g) || len(g.idleSources) == 0 {
 			continue
 		}
-		if h := g.heaviest[0]; heaviest == nil || h.weightedLoad() > heaviest.weightedLoad() ||
-			h.weightedLoad() == heaviest.weightedLoad() && h.idle.first().endsBefore(heaviest.idle.first()) {
+		if h := g.idleSources[0]; heaviest == nil || h.weightedLoad() > heaviest.weightedLoad() ||
+			h.weightedLoad() == heaviest.weightedLoad() && h.idle.first().shouldEvictBefore(heaviest.idle.first()) {
 			heaviest = h
 		}
-		if c := g.idle.first(); oldest == nil || c.endsBefore(oldest) {
+		if c := g.idle.first(); oldest == nil || c.shouldEvictBefore(oldest) {
 			oldest = c
 		}
 	}
--- a/internal/edge/admission/block_test.go
+++ b/internal/edge/admission/block_test.go
@@ -9,7 +9,7 @@
 
 // Where new connections wait in the accept queue, one that is asked to come again holds up nobody who would get in: no other source would,
 // so that the accepting goroutine may wait with it.
-func TestBlockedConnectionHoldsUpNobody(t *testing.T) {
+func TestBlockedConnectionDelaysNoAdmissibleConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		controller := New(SingleGroup(rapid.IntRange(1, 4).Draw(t, "capacity")), now)
@@ -17,7 +17,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if len(admitted) > 0 && rapid.Bool().Draw(t, "changes") {
-				change(t, controller, now, rapid.SampledFrom(admitted).Draw(t, "conn"))
+				changeState(t, controller, now, rapid.SampledFrom(admitted).Draw(t, "conn"))
 				continue
 			}
 			v := controller.Admit(now, rapid.SampledFrom(addrs).Draw(t, "address"), rapid.Bool().Draw(t, "TLS"), nil)
@@ -34,8 +34,8 @@
 	})
 }
 
-// change has a connection begin a request, end one, or close.
-func change(t *rapid.T, controller *Controller, now time.Time, c *Conn) {
+// changeState has a connection begin a request, end one, or close.
+func changeState(t *rapid.T, controller *Controller, now time.Time, c *Conn) {
 	switch {
 	case c.state == closed:
 	case rapid.IntRange(0, 3).Draw(t, "change") == 0:
--- a/internal/edge/admission/controller.go
+++ b/internal/edge/admission/controller.go
@@ -115,7 +115,7 @@
 	switch {
 	case ok:
 		ctl.conns[c] = struct{}{}
-		ctl.occupy(c, g)
+		ctl.acquireSlot(c, g)
 		ctl.awaitRequest(now, c, canIdentify)
 		g.counts.Admitted++
 		return Verdict{Conn: c, Evict: evict}
@@ -200,13 +200,13 @@
 
 // remove removes a connection from all counts and lists.
 func (ctl *Controller) remove(now time.Time, c *Conn) {
-	ctl.vacate(now, c)
+	ctl.releaseSlot(now, c)
 	c.state = closed
 	delete(ctl.conns, c)
 }
 
-// occupy gives a connection a slot of a group. It is on no list yet.
-func (ctl *Controller) occupy(c *Conn, g *group) {
+// acquireSlot gives a connection a slot of a group. It is on no list yet.
+func (ctl *Controller) acquireSlot(c *Conn, g *group) {
 	c.source = ctl.source(c.addr, g)
 	ctl.removeUnused(c.source)
 	c.source.inUse++
@@ -221,10 +221,10 @@
 	c.source.updateHeap()
 }
 
-// vacate frees a connection's slot, and removes it from its lists.
-func (ctl *Controller) vacate(now time.Time, c *Conn) {
+// releaseSlot frees a connection's slot, and removes it from its lists.
+func (ctl *Controller) releaseSlot(now time.Time, c *Conn) {
 	if c.state == identifying {
-		ctl.identifying.remove(c, ofSource)
+		ctl.identifying.remove(c, primaryList)
 		ctl.identifyingCount--
 	}
 	if c.state == waiting {
@@ -254,12 +254,12 @@
 func (ctl *Controller) link(c *Conn) {
 	switch c.state {
 	case awaitingRequest:
-		ctl.awaitingRequest.push(c, ofSource)
+		ctl.awaitingRequest.push(c, primaryList)
 	case handshaking:
-		ctl.handshaking.push(c, ofSource)
+		ctl.handshaking.push(c, primaryList)
 	case idle:
-		c.source.idle.listOf(c).push(c, ofSource)
-		c.source.group.idle.listOf(c).push(c, ofGroup)
+		c.source.idle.listOf(c).push(c, primaryList)
+		c.source.group.idle.listOf(c).push(c, groupIdleList)
 		c.source.updateHeap()
 	}
 }
@@ -268,12 +268,12 @@
 func (ctl *Controller) unlink(c *Conn) {
 	switch c.state {
 	case awaitingRequest:
-		ctl.awaitingRequest.remove(c, ofSource)
+		ctl.awaitingRequest.remove(c, primaryList)
 	case handshaking:
-		ctl.handshaking.remove(c, ofSource)
+		ctl.handshaking.remove(c, primaryList)
 	case idle:
-		c.source.idle.listOf(c).remove(c, ofSource)
-		c.source.group.idle.listOf(c).remove(c, ofGroup)
+		c.source.idle.listOf(c).remove(c, primaryList)
+		c.source.group.idle.listOf(c).remove(c, groupIdleList)
 		c.source.updateHeap()
 	}
 }
@@ -293,7 +293,7 @@
 
 // markIdle moves a connection whose grace is over to the idle ones.
 func (ctl *Controller) markIdle(now time.Time, from *list, c *Conn) {
-	from.remove(c, ofSource)
+	from.remove(c, primaryList)
 	c.state = idle
 	c.neverUsed = true
 	c.since = now
--- a/internal/edge/admission/grace_test.go
+++ b/internal/edge/admission/grace_test.go
@@ -7,7 +7,7 @@
 
 // Where all connections have only just become idle, a new one is told when to come back, and gets in then
 // (docs/incidents/full-of-new-idle-connections.md).
-func TestNewConnectionComesBackAfterIdleGrace(t *testing.T) {
+func TestRejectedConnectionIsAdmittedAfterRetryAfter(t *testing.T) {
 	const capacity = 4
 	now := time.Unix(1e9, 0)
 	controller := New(Policy{Capacity: capacity, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: time.Second,
--- a/internal/edge/admission/identification.go
+++ b/internal/edge/admission/identification.go
@@ -31,12 +31,12 @@
 	}
 	if ctl.identifyingCount >= most {
 		of := map[netip.Prefix]int{}
-		for o := ctl.identifying.first; o != nil; o = o.links[ofSource].next {
+		for o := ctl.identifying.first; o != nil; o = o.links[primaryList].next {
 			of[ctl.prefixOf(o.addr)]++
 		}
 		own := of[ctl.prefixOf(c.addr)] + 1
 		first := ctl.identifying.first
-		for o := ctl.identifying.first; o != nil; o = o.links[ofSource].next {
+		for o := ctl.identifying.first; o != nil; o = o.links[primaryList].next {
 			if of[ctl.prefixOf(o.addr)] > of[ctl.prefixOf(first.addr)] {
 				first = o
 			}
@@ -51,7 +51,7 @@
 	}
 	c.state, c.since = identifying, now
 	ctl.conns[c] = struct{}{}
-	ctl.identifying.push(c, ofSource)
+	ctl.identifying.push(c, primaryList)
 	ctl.identifyingCount++
 	return true
 }
@@ -98,8 +98,8 @@
 		evict, c.state = nil, awaitingRequest
 		ctl.conns[c] = struct{}{}
 	}
-	ctl.vacate(now, c)
-	ctl.occupy(c, g)
+	ctl.releaseSlot(now, c)
+	ctl.acquireSlot(c, g)
 	ctl.awaitRequest(now, c, false)
 	if known {
 		g.counts.Identified++
--- a/internal/edge/admission/model_test.go
+++ b/internal/edge/admission/model_test.go
@@ -14,20 +14,20 @@
 // A model that counts everything anew from the connections as the test has seen them, and the rules in the words of the
 // package's promises, against whatever happens in whatever order.
 type model struct {
-	t       *rapid.T
-	d       *Controller
-	p       Policy
-	now     time.Time
-	conns   []*Conn // that hold a place or prove themselves
-	short   bool    // places are fewer than the policy's, or were
-	lowered bool    // by another policy
+	t               *rapid.T
+	controller      *Controller
+	policy          Policy
+	now             time.Time
+	conns           []*Conn // that hold a place or prove themselves
+	capacityReduced bool    // places are fewer than the policy's, or were
+	policyUpdated   bool    // by another policy
 }
 
 var addrs = []netip.Addr{netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2"), netip.MustParseAddr("::ffff:10.0.0.1"),
 	netip.MustParseAddr("10.1.0.1"), netip.MustParseAddr("10.1.0.2"), netip.MustParseAddr("10.2.0.1"), netip.MustParseAddr("2001:db8::1"),
 	netip.MustParseAddr("2001:db8::ffff:2"), netip.MustParseAddr("2001:db8:0:1::1"), netip.MustParseAddr("10.9.0.1")}
 
-func policy(t *rapid.T) Policy {
+func drawPolicy(t *rapid.T) Policy {
 	p := Policy{IPv4Bits: 32, IPv6Bits: 64, RequestGrace: 300 * time.Millisecond, IdleProtection: time.Duration(rapid.IntRange(0, 2).Draw(t, "guard")) * time.Second,
 		Groups: []Group{{Name: Others, MaxPerSource: rapid.SampledFrom([]int{0, 0, 3}).Draw(t, "source")},
 			{Name: "known", Networks: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}, CertificateNames: []string{"known", "*.known"},
@@ -49,8 +49,8 @@
 	return p
 }
 
-// of returns a connection's group by the policy's words alone.
-func (m *model) of(c *Conn) string {
+// expectedGroup returns a connection's group by the policy's words alone.
+func (m *model) expectedGroup(c *Conn) string {
 	for _, n := range c.certificateNames {
 		switch strings.ToLower(n) {
 		case "known", "a.known":
@@ -59,12 +59,12 @@
 			return "bad"
 		}
 	}
-	return m.byAddr(c.addr)
+	return m.groupOfAddress(c.addr)
 }
 
-func (m *model) byAddr(a netip.Addr) string {
+func (m *model) groupOfAddress(a netip.Addr) string {
 	a = a.Unmap()
-	for _, g := range m.p.Groups[1:] {
+	for _, g := range m.policy.Groups[1:] {
 		for _, n := range g.Networks {
 			if n.Contains(a) {
 				return g.Name
@@ -74,7 +74,7 @@
 	return Others
 }
 
-func src(a netip.Addr) netip.Prefix {
+func sourcePrefix(a netip.Addr) netip.Prefix {
 	a = a.Unmap()
 	if a.Is4() {
 		return netip.PrefixFrom(a, 32)
@@ -84,40 +84,40 @@
 }
 
 func (m *model) group(name string) Group {
-	return m.p.Groups[slices.IndexFunc(m.p.Groups, func(g Group) bool { return g.Name == name })]
+	return m.policy.Groups[slices.IndexFunc(m.policy.Groups, func(g Group) bool { return g.Name == name })]
 }
 
-// held counts the places of a group, and of a source of it, or of all where the name is empty.
-func (m *model) held(name string, s netip.Prefix) (n int) {
+// slotsInUse counts the places of a group, and of a source of it, or of all where the name is empty.
+func (m *model) slotsInUse(name string, s netip.Prefix) (n int) {
 	for _, c := range m.conns {
-		if c.source != nil && (name == "" || c.source.group.Name == name) && (!s.IsValid() || src(c.addr) == s) {
+		if c.source != nil && (name == "" || c.source.group.Name == name) && (!s.IsValid() || sourcePrefix(c.addr) == s) {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *model) common() (n int) {
-	for _, g := range m.p.Groups {
-		n += max(m.held(g.Name, netip.Prefix{})-g.Reserve, 0)
+func (m *model) unreservedInUse() (n int) {
+	for _, g := range m.policy.Groups {
+		n += max(m.slotsInUse(g.Name, netip.Prefix{})-g.Reserve, 0)
 	}
 	return n
 }
 
-func (m *model) reserved() (n int) {
-	for _, g := range m.p.Groups {
+func (m *model) reservedSlots() (n int) {
+	for _, g := range m.policy.Groups {
 		n += g.Reserve
 	}
 	return n
 }
 
-func (m *model) load(c *Conn) float64 {
+func (m *model) weightedLoad(c *Conn) float64 {
 	g := c.source.group
-	return float64(m.held(g.Name, src(c.addr))) / g.weight()
+	return float64(m.slotsInUse(g.Name, sourcePrefix(c.addr))) / g.weight()
 }
 
-// ended takes one out that the door has told to end.
-func (m *model) ended(c *Conn) {
+// removeConn takes one out that the door has told to end.
+func (m *model) removeConn(c *Conn) {
 	i := slices.Index(m.conns, c)
 	if i < 0 {
 		m.t.Fatalf("ended twice, or never there: %v", c.addr)
@@ -125,109 +125,109 @@
 	m.conns = slices.Delete(m.conns, i, i+1)
 }
 
-type before struct {
-	held, source, common int
-	idle                 map[*Conn]float64 // those that may give way, and their loads
-	state                map[*Conn]state
-	group                map[*Conn]string
-	young                bool // false: one of those with the greatest load has rested just now, so that none may give way
+type snapshot struct {
+	groupInUse, sourceInUse, unreservedInUse int
+	evictableLoads                           map[*Conn]float64 // those that may give way, and their loads
+	states                                   map[*Conn]state
+	groupNames                               map[*Conn]string
+	pastIdleGrace                            bool // false: one of those with the greatest load has rested just now, so that none may give way
 }
 
-func (m *model) look(name string, a netip.Addr) before {
-	b := before{held: m.held(name, netip.Prefix{}), source: m.held(name, src(a)), common: m.common(), idle: map[*Conn]float64{}, state: map[*Conn]state{}, group: map[*Conn]string{}}
-	m.d.expireGrace(m.now)
+func (m *model) takeSnapshot(name string, a netip.Addr) snapshot {
+	b := snapshot{groupInUse: m.slotsInUse(name, netip.Prefix{}), sourceInUse: m.slotsInUse(name, sourcePrefix(a)), unreservedInUse: m.unreservedInUse(), evictableLoads: map[*Conn]float64{}, states: map[*Conn]state{}, groupNames: map[*Conn]string{}}
+	m.controller.expireGrace(m.now)
 	for _, c := range m.conns {
-		b.state[c] = c.state
+		b.states[c] = c.state
 		if c.source != nil {
-			b.group[c] = c.source.group.Name
+			b.groupNames[c] = c.source.group.Name
 		}
-		if c.source != nil && c.state == idle && (c.source.group.Name == name || m.held(c.source.group.Name, netip.Prefix{}) > c.source.group.Reserve) {
-			b.idle[c] = m.load(c)
+		if c.source != nil && c.state == idle && (c.source.group.Name == name || m.slotsInUse(c.source.group.Name, netip.Prefix{}) > c.source.group.Reserve) {
+			b.evictableLoads[c] = m.weightedLoad(c)
 		}
 	}
 	most := -1.0
-	for _, load := range b.idle {
+	for _, load := range b.evictableLoads {
 		most = max(most, load)
 	}
-	b.young = true
-	for c, load := range b.idle {
+	b.pastIdleGrace = true
+	for c, load := range b.evictableLoads {
 		if load == most && !c.neverUsed && m.now.Sub(c.since) < idleGrace {
-			b.young = false
+			b.pastIdleGrace = false
 		}
 	}
 	return b
 }
 
-// judge checks a verdict on one who wants a place in a group against the promises.
-func (m *model) judge(b before, name string, a netip.Addr, v Verdict) {
+// checkVerdict checks a verdict on one who wants a place in a group against the promises.
+func (m *model) checkVerdict(b snapshot, name string, a netip.Addr, v Verdict) {
 	g := m.group(name)
-	if v.Evict != nil && b.state[v.Evict] != idle && b.state[v.Evict] != identifying {
-		m.t.Fatalf("ended one that is in state %d", b.state[v.Evict])
+	if v.Evict != nil && b.states[v.Evict] != idle && b.states[v.Evict] != identifying {
+		m.t.Fatalf("ended one that is in state %d", b.states[v.Evict])
 	}
-	if v.Evict != nil && b.state[v.Evict] == idle {
-		if _, may := b.idle[v.Evict]; !may {
-			m.t.Fatalf("group %s ended one of %s, which holds no more than its reserve", name, m.of(v.Evict))
+	if v.Evict != nil && b.states[v.Evict] == idle {
+		if _, may := b.evictableLoads[v.Evict]; !may {
+			m.t.Fatalf("group %s ended one of %s, which holds no more than its reserve", name, m.expectedGroup(v.Evict))
 		}
 	}
-	capped := g.MaxPerSource > 0 && b.source >= g.MaxPerSource || g.MaxConns > 0 && b.held >= g.MaxConns
+	capped := g.MaxPerSource > 0 && b.sourceInUse >= g.MaxPerSource || g.MaxConns > 0 && b.groupInUse >= g.MaxConns
 	switch {
 	case v.Rejected && (v.Reason == RateExceeded || v.Reason == Denied):
 		return
 	case !v.Rejected && !v.MustIdentify && !v.Waiting && v.Evict == nil && capped:
 		m.t.Fatalf("%s was let in beyond its bound", name)
-	case !v.Rejected && !v.MustIdentify && !v.Waiting && v.Evict == nil && !m.short && b.held >= g.Reserve && m.p.FreeFactor > 0 &&
-		float64(b.source+1)/g.weight() > m.p.FreeFactor*float64(m.p.Capacity-m.reserved()-b.common):
-		m.t.Fatalf("a source of %s with %d places had one more, beyond its share", name, b.source)
-	case v.Evict != nil && b.state[v.Evict] == idle && !capped:
-		own := float64(b.source+1) / g.weight()
-		mine := src(v.Evict.addr) == src(a) && b.group[v.Evict] == name // whose source may be beyond its share
-		for c, load := range b.idle {
-			if load > b.idle[v.Evict] && m.p.IdleProtection == 0 && !mine {
-				m.t.Fatalf("one of load %v ended and one of %v (%v) did not", b.idle[v.Evict], load, c.addr)
+	case !v.Rejected && !v.MustIdentify && !v.Waiting && v.Evict == nil && !m.capacityReduced && b.groupInUse >= g.Reserve && m.policy.FreeFactor > 0 &&
+		float64(b.sourceInUse+1)/g.weight() > m.policy.FreeFactor*float64(m.policy.Capacity-m.reservedSlots()-b.unreservedInUse):
+		m.t.Fatalf("a source of %s with %d places had one more, beyond its share", name, b.sourceInUse)
+	case v.Evict != nil && b.states[v.Evict] == idle && !capped:
+		own := float64(b.sourceInUse+1) / g.weight()
+		mine := sourcePrefix(v.Evict.addr) == sourcePrefix(a) && b.groupNames[v.Evict] == name // whose source may be beyond its share
+		for c, load := range b.evictableLoads {
+			if load > b.evictableLoads[v.Evict] && m.policy.IdleProtection == 0 && !mine {
+				m.t.Fatalf("one of load %v ended and one of %v (%v) did not", b.evictableLoads[v.Evict], load, c.addr)
 			}
 		}
-		if b.idle[v.Evict] < own && m.p.IdleProtection > 0 && !mine &&
-			m.now.Sub(v.Evict.since) < m.p.IdleProtection && !v.Evict.neverUsed {
-			m.t.Fatalf("a source of load %v took from one of %v within its guard", own, b.idle[v.Evict])
+		if b.evictableLoads[v.Evict] < own && m.policy.IdleProtection > 0 && !mine &&
+			m.now.Sub(v.Evict.since) < m.policy.IdleProtection && !v.Evict.neverUsed {
+			m.t.Fatalf("a source of load %v took from one of %v within its guard", own, b.evictableLoads[v.Evict])
 		}
-	case v.Waiting && (b.source > 0 || capped):
-		m.t.Fatalf("a source of %s with %d places got in line", name, b.source)
+	case v.Waiting && (b.sourceInUse > 0 || capped):
+		m.t.Fatalf("a source of %s with %d places got in line", name, b.sourceInUse)
 	case (v.Rejected || v.Waiting) && !capped:
-		if b.held < g.Reserve {
-			m.t.Fatalf("%s was refused (%v) with %d of %d reserved places in use", name, v.Reason, b.held, g.Reserve)
+		if b.groupInUse < g.Reserve {
+			m.t.Fatalf("%s was refused (%v) with %d of %d reserved places in use", name, v.Reason, b.groupInUse, g.Reserve)
 		}
-		free, own := m.p.Capacity-m.reserved()-b.common, float64(b.source+1)/g.weight()
-		if b.held >= g.Reserve && free > 0 && m.p.FreeFactor > 0 && own > m.p.FreeFactor*float64(free) {
-			if v.Reason != SourceFull && v.Reason != Unidentified && !m.short {
+		free, own := m.policy.Capacity-m.reservedSlots()-b.unreservedInUse, float64(b.sourceInUse+1)/g.weight()
+		if b.groupInUse >= g.Reserve && free > 0 && m.policy.FreeFactor > 0 && own > m.policy.FreeFactor*float64(free) {
+			if v.Reason != SourceFull && v.Reason != Unidentified && !m.capacityReduced {
 				m.t.Fatalf("a source beyond its share was refused as %v", v.Reason)
 			}
 			return
 		}
-		if m.short && m.p.FreeFactor > 0 && (v.Reason == SourceFull || v.Reason == Unidentified) { // fewer are free than the policy says
+		if m.capacityReduced && m.policy.FreeFactor > 0 && (v.Reason == SourceFull || v.Reason == Unidentified) { // fewer are free than the policy says
 			return
 		}
-		if !m.short && free > 0 {
-			m.t.Fatalf("%s was refused (%v) where %d of %d were in use", name, v.Reason, b.common, m.p.Capacity-m.reserved())
+		if !m.capacityReduced && free > 0 {
+			m.t.Fatalf("%s was refused (%v) where %d of %d were in use", name, v.Reason, b.unreservedInUse, m.policy.Capacity-m.reservedSlots())
 		}
-		for c, load := range b.idle {
-			if (load >= float64(b.source+1)/g.weight() || m.p.IdleProtection == 0) && (m.p.IdleProtection == 0 || b.young) {
+		for c, load := range b.evictableLoads {
+			if (load >= float64(b.sourceInUse+1)/g.weight() || m.policy.IdleProtection == 0) && (m.policy.IdleProtection == 0 || b.pastIdleGrace) {
 				m.t.Fatalf("%s was refused though %v of load %v was idle", name, c.addr, load)
 			}
 		}
 	}
 }
 
-// check counts everything anew.
-func (m *model) check() {
-	d := m.d
+// checkInvariants counts everything anew.
+func (m *model) checkInvariants() {
+	d := m.controller
 	if len(d.conns) != len(m.conns) {
 		m.t.Fatalf("the door knows %d connections, there are %d", len(d.conns), len(m.conns))
 	}
-	if d.inUse != m.held("", netip.Prefix{}) || d.unreservedInUse != m.common() {
-		m.t.Fatalf("held %d, common %d; counted %d, %d", d.inUse, d.unreservedInUse, m.held("", netip.Prefix{}), m.common())
+	if d.inUse != m.slotsInUse("", netip.Prefix{}) || d.unreservedInUse != m.unreservedInUse() {
+		m.t.Fatalf("held %d, common %d; counted %d, %d", d.inUse, d.unreservedInUse, m.slotsInUse("", netip.Prefix{}), m.unreservedInUse())
 	}
-	if !m.lowered && (d.inUse > m.p.Capacity || m.common() > m.p.Capacity-m.reserved()) {
-		m.t.Fatalf("%d held, %d common, of %d places", d.inUse, m.common(), m.p.Capacity)
+	if !m.policyUpdated && (d.inUse > m.policy.Capacity || m.unreservedInUse() > m.policy.Capacity-m.reservedSlots()) {
+		m.t.Fatalf("%d held, %d common, of %d places", d.inUse, m.unreservedInUse(), m.policy.Capacity)
 	}
 	provers, inLine := 0, 0
 	for _, c := range m.conns {
@@ -237,20 +237,20 @@
 		}
 		if c.state == waiting {
 			inLine++
-			if c.source != nil || c.waitingSource == nil || m.held(c.waitingSource.group.Name, src(c.addr)) != c.waitingSource.inUse {
+			if c.source != nil || c.waitingSource == nil || m.slotsInUse(c.waitingSource.group.Name, sourcePrefix(c.addr)) != c.waitingSource.inUse {
 				m.t.Fatal("one in line holds a place, or waits for nobody's")
 			}
 			continue
 		}
-		if want := m.of(c); c.source.group.Name != want && !(want == "known" && m.byAddr(c.addr) != "known") && want != "bad" {
+		if want := m.expectedGroup(c); c.source.group.Name != want && !(want == "known" && m.groupOfAddress(c.addr) != "known") && want != "bad" {
 			m.t.Fatalf("%v with %v is of %s", c.addr, c.certificateNames, c.source.group.Name)
 		}
 	}
-	if provers != d.identifyingCount || provers > m.p.MaxIdentifying() && !m.lowered {
-		m.t.Fatalf("%d prove themselves, %d counted, %d may", provers, d.identifyingCount, m.p.MaxIdentifying())
+	if provers != d.identifyingCount || provers > m.policy.MaxIdentifying() && !m.policyUpdated {
+		m.t.Fatalf("%d prove themselves, %d counted, %d may", provers, d.identifyingCount, m.policy.MaxIdentifying())
 	}
-	if inLine != d.waitingCount || inLine > m.p.MaxWaiting && !m.lowered {
-		m.t.Fatalf("%d in line, %d counted, %d may", inLine, d.waitingCount, m.p.MaxWaiting)
+	if inLine != d.waitingCount || inLine > m.policy.MaxWaiting && !m.policyUpdated {
+		m.t.Fatalf("%d in line, %d counted, %d may", inLine, d.waitingCount, m.policy.MaxWaiting)
 	}
 	for k, s := range d.sources {
 		n, idles := 0, 0
@@ -263,9 +263,9 @@
 			}
 		}
 		for _, c := range []*Conn{s.idle.neverUsed.first, s.idle.used.first} {
-			for ; c != nil; c = c.links[ofSource].next {
+			for ; c != nil; c = c.links[primaryList].next {
 				idles--
-				if next := c.links[ofSource].next; next != nil && (next.since.Before(c.since) || next.neverUsed != c.neverUsed) {
+				if next := c.links[primaryList].next; next != nil && (next.since.Before(c.since) || next.neverUsed != c.neverUsed) {
 					m.t.Fatal("idle connections out of order")
 				}
 			}
@@ -275,18 +275,18 @@
 		}
 	}
 	for _, g := range d.groups {
-		for _, s := range g.heaviest {
-			if s.weightedLoad() > g.heaviest[0].weightedLoad() {
+		for _, s := range g.idleSources {
+			if s.weightedLoad() > g.idleSources[0].weightedLoad() {
 				m.t.Fatal("the heaviest source is not the first")
 			}
 		}
 	}
 }
 
-// next gives places to those waiting, in their order, and only where a newcomer in their stead would have had one.
-func (m *model) next() {
+// admitWaiting gives places to those waiting, in their order, and only where a newcomer in their stead would have had one.
+func (m *model) admitWaiting() {
 	for {
-		first := m.d.waiting.first
+		first := m.controller.waiting.first
 		if first == nil {
 			return
 		}
@@ -296,23 +296,23 @@
 			}
 		}
 		name := first.waitingSource.group.Name
-		b := m.look(name, first.addr)
-		held := m.d.inUse
-		taken, evicted := m.d.AdmitWaiting(m.now)
+		b := m.takeSnapshot(name, first.addr)
+		held := m.controller.inUse
+		taken, evicted := m.controller.AdmitWaiting(m.now)
 		for _, c := range evicted {
-			if b.state[c] != idle {
-				m.t.Fatalf("ended one in state %d for the line", b.state[c])
+			if b.states[c] != idle {
+				m.t.Fatalf("ended one in state %d for the line", b.states[c])
 			}
-			m.ended(c)
+			m.removeConn(c)
 		}
-		if m.d.inUse != held+len(taken)-len(evicted) {
+		if m.controller.inUse != held+len(taken)-len(evicted) {
 			m.t.Fatal("more was given than there was")
 		}
 		if len(taken) == 0 {
 			if m.group(name).Deny {
 				return
 			}
-			m.judge(b, name, first.addr, Verdict{Rejected: true, Reason: SourceFull})
+			m.checkVerdict(b, name, first.addr, Verdict{Rejected: true, Reason: SourceFull})
 			return
 		}
 		if taken[0] != first {
@@ -321,10 +321,10 @@
 	}
 }
 
-func TestDoor(t *testing.T) {
+func TestRandomEventsKeepAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{t: t, p: policy(t), now: time.Unix(1e9, 0)}
-		m.d = New(m.p, m.now)
+		m := &model{t: t, policy: drawPolicy(t), now: time.Unix(1e9, 0)}
+		m.controller = New(m.policy, m.now)
 		pick := func(states ...state) *Conn {
 			var of []*Conn
 			for _, c := range m.conns {
@@ -339,7 +339,7 @@
 		}
 		taken := func(v Verdict) {
 			if v.Evict != nil {
-				m.ended(v.Evict)
+				m.removeConn(v.Evict)
 			}
 			if v.Conn != nil && !slices.Contains(m.conns, v.Conn) {
 				m.conns = append(m.conns, v.Conn)
@@ -347,28 +347,28 @@
 		}
 		arrive := func(t *rapid.T) {
 			a := rapid.SampledFrom(addrs).Draw(t, "addr")
-			name := m.byAddr(a)
-			b := m.look(name, a)
-			v := m.d.Admit(m.now, a, rapid.Bool().Draw(t, "provable"), nil)
+			name := m.groupOfAddress(a)
+			b := m.takeSnapshot(name, a)
+			v := m.controller.Admit(m.now, a, rapid.Bool().Draw(t, "provable"), nil)
 			if v.Rejected == (v.Conn != nil) || v.Rejected && v.Reason != Denied && v.RetryAfter <= 0 || m.group(name).Deny != (v.Rejected && v.Reason == Denied) {
 				t.Fatalf("%+v", v)
 			}
 			if !v.MustIdentify {
-				m.judge(b, name, a, v)
+				m.checkVerdict(b, name, a, v)
 			}
 			taken(v)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(*rapid.T) {
-				m.next()
-				m.check()
+				m.admitWaiting()
+				m.checkInvariants()
 			},
 			"expire": func(t *rapid.T) {
 				c := pick(waiting)
-				if v := m.d.ExpireWait(m.now, c); !v.Rejected || v.RetryAfter <= 0 {
+				if v := m.controller.ExpireWait(m.now, c); !v.Rejected || v.RetryAfter <= 0 {
 					t.Fatalf("%+v", v)
 				}
-				m.ended(c)
+				m.removeConn(c)
 			},
 			"arrive":  arrive,
 			"arrive2": arrive,
@@ -380,21 +380,21 @@
 				}
 				names := rapid.SampledFrom([][]string{nil, {"other"}, {"known"}, {"x", "A.known"}, {"bad"}}).Draw(t, "names")
 				was := c.state
-				to := m.byAddr(c.addr)
-				if len(names) > 0 && m.d.groupIndex != nil {
-					if n, ok := m.d.groupIndex.ofNames(names); ok {
-						to = m.p.Groups[n].Name
+				to := m.groupOfAddress(c.addr)
+				if len(names) > 0 && m.controller.groupIndex != nil {
+					if n, ok := m.controller.groupIndex.lookupNames(names); ok {
+						to = m.policy.Groups[n].Name
 					}
 				}
-				b := m.look(to, c.addr)
-				v := m.d.Identify(m.now, c, names)
+				b := m.takeSnapshot(to, c.addr)
+				v := m.controller.Identify(m.now, c, names)
 				if v.Rejected {
-					m.ended(c)
+					m.removeConn(c)
 					if was != identifying && v.Reason != Denied {
 						t.Fatalf("one that held a place was refused: %v", v.Reason)
 					}
 					if !m.group(to).Deny {
-						m.judge(b, to, c.addr, v)
+						m.checkVerdict(b, to, c.addr, v)
 					}
 					return
 				}
@@ -407,58 +407,58 @@
 				}
 			},
 			"work": func(*rapid.T) {
-				if c := pick(awaitingRequest, idle); !m.d.StartRequest(c) {
+				if c := pick(awaitingRequest, idle); !m.controller.StartRequest(c) {
 					t.Fatal("not there")
 				}
 			},
 			"rest": func(*rapid.T) {
 				c := pick(active)
 				denied := c.source.group.Deny // since it got in
-				if stays := m.d.EndRequest(m.now, c); !stays {
-					m.ended(c)
+				if stays := m.controller.EndRequest(m.now, c); !stays {
+					m.removeConn(c)
 				} else if denied {
 					t.Fatal("one that is kept out stays")
 				}
 			},
 			"leave": func(*rapid.T) {
 				c := pick(awaitingRequest, handshaking, idle, active, identifying, waiting)
-				m.d.Remove(m.now, c)
-				m.d.Remove(m.now, c) // also twice
-				m.ended(c)
+				m.controller.Remove(m.now, c)
+				m.controller.Remove(m.now, c) // also twice
+				m.removeConn(c)
 			},
 			"time": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{1, 100, 400, 3000}).Draw(t, "ms")) * time.Millisecond)
 			},
 			"short": func(*rapid.T) {
-				b := m.look("", netip.Addr{})
-				for _, c := range m.d.ReduceCapacity(m.now) {
-					if b.state[c] != idle {
+				b := m.takeSnapshot("", netip.Addr{})
+				for _, c := range m.controller.ReduceCapacity(m.now) {
+					if b.states[c] != idle {
 						t.Fatal("ended one at work")
 					}
-					m.ended(c)
+					m.removeConn(c)
 				}
-				m.short = true
+				m.capacityReduced = true
 			},
 			"update": func(t *rapid.T) {
-				m.p = policy(t)
-				m.d.expireGrace(m.now)
-				b := m.look("", netip.Addr{})
-				m.short, m.lowered = true, true
-				for _, c := range m.d.Update(m.now, m.p) {
-					if b.state[c] != idle {
+				m.policy = drawPolicy(t)
+				m.controller.expireGrace(m.now)
+				b := m.takeSnapshot("", netip.Addr{})
+				m.capacityReduced, m.policyUpdated = true, true
+				for _, c := range m.controller.Update(m.now, m.policy) {
+					if b.states[c] != idle {
 						t.Fatal("ended one at work")
 					}
-					m.ended(c)
+					m.removeConn(c)
 				}
 			},
 		})
 		for _, c := range slices.Clone(m.conns) { // nothing is left behind
-			m.d.Remove(m.now, c)
+			m.controller.Remove(m.now, c)
 		}
 		m.conns = nil
-		m.check()
-		for _, g := range m.d.groups {
-			if g.inUse+g.active != 0 || g.idle.first() != nil || len(g.heaviest) != 0 {
+		m.checkInvariants()
+		for _, g := range m.controller.groups {
+			if g.inUse+g.active != 0 || g.idle.first() != nil || len(g.idleSources) != 0 {
 				t.Fatalf("%s holds something", g.Name)
 			}
 		}
@@ -466,7 +466,7 @@
 }
 
 // A handshake has a second, and a request its own grace after it, before the connection ends for others.
-func TestHandshakeGrace(t *testing.T) {
+func TestConnectionIsEvictedOnlyAfterHandshakeAndRequestGrace(t *testing.T) {
 	begun := time.Unix(1e9, 0)
 	at := begun.Add
 	d := New(Policy{Capacity: 1, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace, IdleProtection: time.Second}, begun)
@@ -486,7 +486,7 @@
 }
 
 // What is remembered of sources that hold nothing is bounded, and goes when its rate has nothing more to remember.
-func TestSourcesForgotten(t *testing.T) {
+func TestUnusedSourcesAreBoundedAndDeleted(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := Policy{Capacity: 4, Groups: []Group{{Name: Others, Rate: 1, Burst: 2}}, IPv4Bits: 32, IPv6Bits: 64}
 	d := New(p, now)
@@ -505,7 +505,7 @@
 	}
 }
 
-func BenchmarkDoor(b *testing.B) {
+func BenchmarkController(b *testing.B) {
 	for _, sources := range []int{1, 1000, 100000} {
 		p := Policy{Capacity: sources, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, IdleProtection: time.Second}
 		now := time.Unix(1e9, 0)
--- a/internal/edge/admission/policy.go
+++ b/internal/edge/admission/policy.go
@@ -95,16 +95,16 @@
 	return m
 }
 
-// ofAddress returns the group of an address, 0 where no network contains it.
-func (m *groupIndex) ofAddress(a netip.Addr) int {
+// lookupAddress returns the group of an address, 0 where no network contains it.
+func (m *groupIndex) lookupAddress(a netip.Addr) int {
 	if g, ok := m.networks.Lookup(a.Unmap().WithZone("")); ok {
 		return g
 	}
 	return 0
 }
 
-// ofNames returns the first group that one of a certificate's names belongs to.
-func (m *groupIndex) ofNames(names []string) (group int, ok bool) {
+// lookupNames returns the first group that one of a certificate's names belongs to.
+func (m *groupIndex) lookupNames(names []string) (group int, ok bool) {
 	for _, n := range m.patterns {
 		if slices.ContainsFunc(names, func(is string) bool {
 			is = strings.ToLower(is)
@@ -121,9 +121,9 @@
 
 // groupOf returns the group of a certificate's names, or else of the address; byName reports the first case.
 func (ctl *Controller) groupOf(a netip.Addr, names []string) (g *group, byName bool) {
-	n, byName := ctl.groupIndex.ofNames(names)
+	n, byName := ctl.groupIndex.lookupNames(names)
 	if !byName {
-		n = ctl.groupIndex.ofAddress(a)
+		n = ctl.groupIndex.lookupAddress(a)
 	}
 	return ctl.groups[n], byName
 }
@@ -131,7 +131,7 @@
 // Reason says why a connection was rejected.
 type Reason uint8
 
-// The reasons.
+// The reasonCount.
 const (
 	Denied       Reason = iota // its group is denied
 	RateExceeded               // its source exceeds its rate of new connections
@@ -139,7 +139,7 @@
 	GroupFull                  // its group holds as many slots as it may
 	ListenerFull               // there is no slot that it may take
 	Unidentified               // it was admitted to present a certificate, and belongs to no group with a free slot
-	reasons
+	reasonCount
 )
 
 // String returns the reason in the words of the control socket.
--- a/internal/edge/admission/source.go
+++ b/internal/edge/admission/source.go
@@ -35,8 +35,8 @@
 
 // The kinds of list that a connection may be on at a time.
 const (
-	ofSource = iota
-	ofGroup
+	primaryList = iota
+	groupIdleList
 )
 
 // list is a doubly linked list of connections, each of which may be on one list of each kind.
@@ -87,8 +87,8 @@
 	return &q.used
 }
 
-// endsBefore reports whether one of two idle connections is evicted before the other, all else being equal.
-func (c *Conn) endsBefore(than *Conn) bool {
+// shouldEvictBefore reports whether one of two idle connections is evicted before the other, all else being equal.
+func (c *Conn) shouldEvictBefore(than *Conn) bool {
 	if c.neverUsed != than.neverUsed {
 		return c.neverUsed
 	}
@@ -100,7 +100,7 @@
 	Group
 	inUse, active int
 	idle          idleQueue
-	heaviest      sourceHeap // sources with idle connections
+	idleSources   sourceHeap // sources with idle connections
 	counts        Counts
 }
 
@@ -115,7 +115,7 @@
 	if a, b := h[i].weightedLoad(), h[j].weightedLoad(); a != b {
 		return a > b
 	}
-	return h[i].idle.first().endsBefore(h[j].idle.first())
+	return h[i].idle.first().shouldEvictBefore(h[j].idle.first())
 }
 func (h sourceHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
@@ -137,7 +137,7 @@
 
 // updateHeap restores the order of the group's heap after a change of the source.
 func (s *source) updateHeap() {
-	h := &s.group.heaviest
+	h := &s.group.idleSources
 	switch {
 	case s.idle.first() == nil && s.heapIndex >= 0:
 		heap.Remove(h, s.heapIndex)
--- a/internal/edge/admission/status.go
+++ b/internal/edge/admission/status.go
@@ -10,7 +10,7 @@
 // Counts are the counters of a group since the start of the process.
 type Counts struct {
 	Admitted   uint64
-	Rejected   [reasons]uint64
+	Rejected   [reasonCount]uint64
 	Evicted    uint64 // idle connections closed in favour of others
 	Identified uint64 // by a certificate
 }
--- a/internal/edge/admission/update.go
+++ b/internal/edge/admission/update.go
@@ -27,7 +27,7 @@
 	all := ctl.connsByAge()
 	all = slices.DeleteFunc(all, func(c *Conn) bool { return c.source == nil && c.waitingSource == nil })
 	for _, c := range all {
-		ctl.vacate(now, c)
+		ctl.releaseSlot(now, c)
 	}
 	for _, s := range ctl.sources { // they have no connections now
 		i := slices.IndexFunc(ctl.groups, func(g *group) bool { return g.Name == s.key.group })
@@ -44,7 +44,7 @@
 			ctl.pushWaiting(c, ctl.source(c.addr, g))
 			continue
 		}
-		ctl.occupy(c, g)
+		ctl.acquireSlot(c, g)
 		ctl.link(c)
 	}
 	evict = ctl.trim(now)
--- a/internal/edge/admission/waiting.go
+++ b/internal/edge/admission/waiting.go
@@ -27,13 +27,13 @@
 	c.waitingSource = s
 	s.waiting++
 	ctl.removeUnused(s)
-	ctl.waiting.push(c, ofSource)
+	ctl.waiting.push(c, primaryList)
 	ctl.waitingCount++
 }
 
 // dequeue removes a connection from those that wait.
 func (ctl *Controller) dequeue(now time.Time, c *Conn) {
-	ctl.waiting.remove(c, ofSource)
+	ctl.waiting.remove(c, primaryList)
 	ctl.waitingCount--
 	s := c.waitingSource
 	c.waitingSource = nil
@@ -58,7 +58,7 @@
 			evicted = append(evicted, evict)
 		}
 		ctl.dequeue(now, c)
-		ctl.occupy(c, s.group)
+		ctl.acquireSlot(c, s.group)
 		ctl.awaitRequest(now, c, c.canIdentify)
 		c.source.group.counts.Admitted++
 		admitted = append(admitted, c)
--- a/internal/edge/certs/certs_test.go
+++ b/internal/edge/certs/certs_test.go
@@ -13,7 +13,7 @@
 )
 
 // Files that change hold from then on; those that can't be used change nothing, which is logged once for each fault.
-func TestFilesChange(t *testing.T) {
+func TestChangedFilesAreReloadedAndFaultyFilesAreIgnored(t *testing.T) {
 	folder := t.TempDir()
 	authority, err := fake.NewAuthority(folder, "authority")
 	if err != nil {
