--- a/internal/edge/admission/block_test.go
+++ b/internal/edge/admission/block_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Where new connections wait in the accept queue, one that is asked to come again holds up nobody who would get in: no other source would,
-// so that the accepting goroutine may wait with it.
+// Under BlockWhenFull the accepting goroutine waits with a connection that gets AskAgain, so connections behind it wait too. That is right
+// only if no connection of any source would be admitted at that time.
 func TestBlockedConnectionDelaysNoAdmissibleConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
@@ -27,14 +27,14 @@
 			}
 			for _, address := range addrs {
 				if other := controller.Admit(now, address, rapid.Bool().Draw(t, "other TLS"), nil); !other.AskAgain {
-					t.Fatalf("%+v for one, %+v for %v", v, other, address)
+					t.Fatalf("verdict %+v while the listener is full, but %+v for a connection from %v", v, other, address)
 				}
 			}
 		}
 	})
 }
 
-// changeState has a connection begin a request, end one, or close.
+// changeState removes the connection, or starts or ends its request.
 func changeState(t *rapid.T, controller *Controller, now time.Time, c *Conn) {
 	switch {
 	case c.state == closed:
--- a/internal/edge/admission/controller.go
+++ b/internal/edge/admission/controller.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Controller holds the connections of one listener. It is not safe for concurrent use, and the times passed to it must not decrease.
+// Controller decides on the connections of one listener and keeps their states. It is not safe for concurrent use. The times passed to
+// its methods must not decrease.
 type Controller struct {
 	policy     Policy
 	groupIndex *groupIndex
@@ -14,21 +15,21 @@
 	conns      map[*Conn]struct{}
 
 	inUse            int  // connections that hold a slot
-	unreservedInUse  int  // of them those beyond the reserves of their groups
-	reserved         int  // of all groups
-	awaitingRequest  list // connections without a request whose grace is not over, the oldest first
-	handshaking      list // the same, of connections whose handshake is not over
-	identifying      list // admitted beyond the capacity to present a certificate, the oldest first
+	unreservedInUse  int  // slots in use beyond the reserves of their groups
+	reserved         int  // sum of the reserves of all groups
+	awaitingRequest  list // connections within RequestGrace that have carried no request, the oldest first
+	handshaking      list // connections within handshakeGrace whose handshake is not complete, the oldest first
+	identifying      list // connections admitted beyond the capacity to present a certificate, the oldest first
 	identifyingCount int
 	waiting          list // connections that wait for a slot, the oldest first
 	waitingCount     int
 
-	// After descriptors ran out the capacity is reduced for a while.
+	// Reduced capacity after file descriptors ran out, and the time of the reduction. The capacity then recovers step by step.
 
 	reducedCapacity int
 	reducedAt       time.Time
 
-	// Sources without a connection, in the order in which they became so.
+	// Linked list of the sources without connections, the longest unused first.
 
 	firstUnused, lastUnused *source
 	unusedCount             int
@@ -40,42 +41,42 @@
 
 	addr             netip.Addr
 	certificateNames []string
-	canIdentify      bool    // it begins with a TLS handshake
+	canIdentify      bool    // it begins with a TLS handshake, which may present a certificate
 	source           *source // nil: it holds no slot
-	waitingSource    *source // whose slot it waits for; nil: it does not wait
+	waitingSource    *source // the source for which it waits for a slot; nil: it does not wait
 	state            state
-	neverUsed        bool // idle, and has never carried a request
-	since            time.Time
-	links            [2]link // by list kind
+	neverUsed        bool      // idle, and has never carried a request
+	since            time.Time // when its wait, identification, grace or idle time began
+	links            [2]link   // indexed by the kind of list
 }
 
 // state is the state of a connection.
 type state uint8
 
 const (
-	closed          state = iota // has ended, or was evicted
-	identifying                  // without a slot, presents its certificate
-	waiting                      // waits for a slot
-	handshaking                  // holds a slot, and its handshake is not over
-	awaitingRequest              // has carried no request yet
+	closed          state = iota // has ended, or was evicted or rejected
+	identifying                  // holds no slot, and has to present its certificate
+	waiting                      // holds no slot, and waits for one
+	handshaking                  // holds a slot, and its handshake is not complete
+	awaitingRequest              // holds a slot, and is within its grace for the first request
 	idle
 	active // a request's head has been read
 )
 
 // Verdict is the decision on a connection. Exactly one of Conn, Rejected and AskAgain is set.
 type Verdict struct {
-	Conn         *Conn // it is admitted
-	Waiting      bool  // it has no slot yet: AdmitWaiting gives it one, ExpireWait ends its wait after RetryAfter
-	MustIdentify bool  // it must present a certificate soon
-	Evict        *Conn // the connection that is closed for its slot
+	Conn         *Conn // the connection, which is admitted or waits for a slot
+	Waiting      bool  // it has no slot yet: AdmitWaiting may give it one; the caller calls ExpireWait after RetryAfter
+	MustIdentify bool  // it has no slot, and must present a certificate soon
+	Evict        *Conn // the connection that was evicted for it, which the caller closes
 	Rejected     bool
 	Reason       Reason
-	RetryAfter   time.Duration // 0: the client need not try again
-	AskAgain     bool          // the caller asks again later
+	RetryAfter   time.Duration // when a rejected client may retry, 0 if it should not; for Waiting the maximum wait
+	AskAgain     bool          // there is no slot under BlockWhenFull: the caller calls Admit again later
 }
 
-// Retry-After of a rejected connection. Slots of a full listener become free all the time; those of a source that holds its share
-// become free by its own connections alone.
+// Retry-After of a rejected connection. On a full listener any connection may free a slot, so slots become free all the time. A source
+// that holds its share gets a slot only when one of its own connections frees one. sourceRetryAfter also applies to the other reasons.
 const (
 	fullRetryAfter   = 250 * time.Millisecond
 	sourceRetryAfter = time.Second
@@ -95,8 +96,8 @@
 	return ctl
 }
 
-// Admit decides on a new connection from an address. A connection that canIdentify begins with a TLS handshake, which may bring a
-// certificate. The owner is kept in Conn.Owner.
+// Admit decides on a new connection from an address. canIdentify says that the connection begins with a TLS handshake, in which the
+// client may present a certificate. The owner is kept in Conn.Owner.
 func (ctl *Controller) Admit(now time.Time, address netip.Addr, canIdentify bool, owner any) Verdict {
 	ctl.expireGrace(now)
 	g, _ := ctl.groupOf(address, nil)
@@ -133,7 +134,7 @@
 	return Verdict{Rejected: true, Reason: reason, RetryAfter: retryAfter(reason)}
 }
 
-// awaitRequest starts the grace of a connection with a slot: for its handshake, or for its first request.
+// awaitRequest starts the grace of a connection that holds a slot: handshakeGrace for a handshake, or RequestGrace for its first request.
 func (ctl *Controller) awaitRequest(now time.Time, c *Conn, handshake bool) {
 	c.state = awaitingRequest
 	c.neverUsed = false
@@ -144,7 +145,8 @@
 	ctl.link(c)
 }
 
-// finishHandshake starts the grace for the first request. The handshake may have taken longer than its own grace.
+// finishHandshake starts the grace for the first request after the handshake. It also does so for a connection that counts as idle
+// because its handshake took longer than handshakeGrace.
 func (ctl *Controller) finishHandshake(now time.Time, c *Conn) {
 	if c.state == handshaking || c.state == idle && c.neverUsed {
 		ctl.unlink(c)
@@ -152,8 +154,8 @@
 	}
 }
 
-// StartRequest records that a request's head was read. It returns false where the connection was evicted just before: the request must
-// not be served.
+// StartRequest records that the head of a request was read. It returns false if the connection was evicted just before; the request must
+// then not be served.
 func (ctl *Controller) StartRequest(c *Conn) bool {
 	if c.state == closed {
 		return false
@@ -166,7 +168,7 @@
 	return true
 }
 
-// EndRequest records that a connection carries no request any more. It returns false where it must be closed.
+// EndRequest records that a connection no longer carries a request. It returns false if the caller must close the connection.
 func (ctl *Controller) EndRequest(now time.Time, c *Conn) bool {
 	if c.state == closed || c.source == nil {
 		return false
@@ -189,10 +191,10 @@
 	return true
 }
 
-// Remove records that a connection has ended.
+// Remove records that a connection has ended. Further calls for it have no effect.
 func (ctl *Controller) Remove(now time.Time, c *Conn) { ctl.remove(now, c) }
 
-// evict closes an idle connection for the slot of another.
+// evict removes an idle connection and counts it as evicted. The caller closes it.
 func (ctl *Controller) evict(now time.Time, c *Conn) {
 	c.source.group.counts.Evicted++
 	ctl.remove(now, c)
@@ -205,7 +207,7 @@
 	delete(ctl.conns, c)
 }
 
-// acquireSlot gives a connection a slot of a group. It is on no list yet.
+// acquireSlot gives a connection a slot of a group. The connection must not be on any list.
 func (ctl *Controller) acquireSlot(c *Conn, g *group) {
 	c.source = ctl.source(c.addr, g)
 	ctl.removeUnused(c.source)
@@ -221,7 +223,7 @@
 	c.source.updateHeap()
 }
 
-// releaseSlot frees a connection's slot, and removes it from its lists.
+// releaseSlot frees the slot of a connection, if it holds one, and removes the connection from all lists.
 func (ctl *Controller) releaseSlot(now time.Time, c *Conn) {
 	if c.state == identifying {
 		ctl.identifying.remove(c, primaryList)
@@ -278,10 +280,10 @@
 	}
 }
 
-// handshakeGrace is how long a handshake may take before its connection counts as idle: some round trips over a long distance.
+// handshakeGrace is how long a handshake may take before its connection counts as idle. It allows some round trips over a long distance.
 const handshakeGrace = time.Second
 
-// expireGrace makes connections idle that have carried no request within their grace.
+// expireGrace moves connections whose grace is over without a request to the idle ones.
 func (ctl *Controller) expireGrace(now time.Time) {
 	for c := ctl.handshaking.first; c != nil && now.Sub(c.since) > handshakeGrace; c = ctl.handshaking.first {
 		ctl.markIdle(now, &ctl.handshaking, c)
@@ -291,7 +293,7 @@
 	}
 }
 
-// markIdle moves a connection whose grace is over to the idle ones.
+// markIdle moves a connection whose grace is over from a list to the idle connections that never carried a request.
 func (ctl *Controller) markIdle(now time.Time, from *list, c *Conn) {
 	from.remove(c, primaryList)
 	c.state = idle
--- a/internal/edge/admission/exhaustion.go
+++ b/internal/edge/admission/exhaustion.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ReduceCapacity records that the process had no descriptor for a connection. For a while the capacity is fifteen sixteenths of the
-// slots in use, so that descriptors are free for connections to endpoints and for other files. It returns the idle connections that are
-// evicted for that.
+// ReduceCapacity records that the process had no file descriptor for a connection. It reduces the capacity to fifteen sixteenths of the
+// slots in use, so that descriptors are free for connections to endpoints and for other files. The capacity then recovers step by step.
+// ReduceCapacity returns the idle connections that it evicted, which the caller closes.
 //
 // So a configured capacity above the system's limit does no lasting harm. Clients of the evicted connections connect again.
 func (ctl *Controller) ReduceCapacity(now time.Time) []*Conn {
@@ -17,10 +17,10 @@
 }
 
 const (
-	reduceDivisor   = 16                     // each reduction takes this part of the slots in use
-	reduceInterval  = 100 * time.Millisecond // at most one reduction in this time: freed descriptors take effect after a moment
-	recoverInterval = 250 * time.Millisecond // after a reduction, the time in which one part of the capacity returns
-	recoverDivisor  = 32                     // the number of these parts
+	reduceDivisor   = 16                     // each reduction takes one in this many of the slots in use
+	reduceInterval  = 100 * time.Millisecond // minimum between two reductions: evicted connections free their descriptors after a moment
+	recoverInterval = 250 * time.Millisecond // after a reduction, one part of the capacity returns in each such interval
+	recoverDivisor  = 32                     // number of parts into which the capacity is divided for recovery
 )
 
 // capacity returns the current number of slots.
@@ -32,12 +32,12 @@
 	return min(ctl.reducedCapacity+back, ctl.policy.Capacity)
 }
 
-// unreservedCapacity returns the current number of slots that no group reserves.
+// unreservedCapacity returns the current number of slots outside the reserves of all groups.
 func (ctl *Controller) unreservedCapacity(now time.Time) int {
 	return max(ctl.capacity(now)-ctl.reserved, 0)
 }
 
-// trim evicts idle connections until the slots in use fit into the capacity.
+// trim evicts idle connections until the slots in use fit into the capacity, or no connection can be evicted.
 func (ctl *Controller) trim(now time.Time) (evict []*Conn) {
 	for ctl.inUse > ctl.capacity(now) || ctl.unreservedInUse > ctl.unreservedCapacity(now) {
 		c := ctl.evictionCandidate(now, nil, func(g *group) bool { return g.unreservedInUse() > 0 })
--- a/internal/edge/admission/grace_test.go
+++ b/internal/edge/admission/grace_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where all connections have only just become idle, a new one is told when to come back, and gets in then
-// (docs/incidents/full-of-new-idle-connections.md).
+// While all connections have only just become idle, idleGrace protects them, and a new connection is rejected. A client that retries after
+// its Retry-After must then be admitted (docs/incidents/full-of-new-idle-connections.md).
 func TestRejectedConnectionIsAdmittedAfterRetryAfter(t *testing.T) {
 	const capacity = 4
 	now := time.Unix(1e9, 0)
@@ -15,16 +15,16 @@
 	for range capacity {
 		v := controller.Admit(now, addrs[0], false, nil)
 		if v.Conn == nil {
-			t.Fatalf("%+v", v)
+			t.Fatalf("connection within the capacity was not admitted: %+v", v)
 		}
 		controller.StartRequest(v.Conn)
 		controller.EndRequest(now, v.Conn)
 	}
 	v := controller.Admit(now.Add(idleGrace/2), addrs[1], false, nil)
 	if !v.Rejected || v.Reason != ListenerFull || v.RetryAfter <= idleGrace {
-		t.Errorf("within the grace: %+v", v)
+		t.Errorf("connection within idleGrace: got %+v, want ListenerFull with a Retry-After beyond idleGrace", v)
 	}
 	if v = controller.Admit(now.Add(idleGrace/2+v.RetryAfter), addrs[1], false, nil); v.Conn == nil || v.Evict == nil {
-		t.Errorf("when it comes back: %+v", v)
+		t.Errorf("connection after Retry-After: got %+v, want it admitted for an evicted one", v)
 	}
 }
--- a/internal/edge/admission/identification.go
+++ b/internal/edge/admission/identification.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// MaxIdentifying returns how many connections may present their certificates at a time beyond the capacity.
+// MaxIdentifying returns how many connections may be admitted beyond the capacity at a time to present their certificates.
 func (p *Policy) MaxIdentifying() int {
 	n := 0
 	for _, g := range p.Groups {
@@ -17,13 +17,15 @@
 }
 
 const (
+	// maxIdentifying bounds MaxIdentifying for large reserves.
 	maxIdentifying = 256
 	// identificationGrace is how long a connection has to present its certificate before another may replace it.
 	identificationGrace = 250 * time.Millisecond
 )
 
-// admitForIdentification admits a connection to present its certificate. Where too many do, one of them is evicted: the oldest of the
-// source with the most of them, or the oldest of all once its grace is over.
+// admitForIdentification admits a connection beyond the capacity to present its certificate. If MaxIdentifying connections do so already,
+// it evicts the oldest one of the source with the most of them. If no source would have more of them than the new connection's, it evicts
+// the oldest of all, provided that its identificationGrace is over.
 func (ctl *Controller) admitForIdentification(now time.Time, c *Conn, evict **Conn) bool {
 	most := ctl.policy.MaxIdentifying()
 	if most == 0 {
@@ -56,8 +58,8 @@
 	return true
 }
 
-// Identify records the names of a connection's verified certificate; none: it has presented none. A rejected connection is to be
-// answered and closed. One that holds a slot keeps it.
+// Identify records the names of a connection's verified certificate; names is empty if the client presented none. The caller sends a
+// response on a rejected connection and closes it. A connection that holds a slot is rejected only if its group is denied.
 func (ctl *Controller) Identify(now time.Time, c *Conn, names []string) Verdict {
 	ctl.expireGrace(now)
 	if c.state == closed {
@@ -94,7 +96,7 @@
 		ctl.remove(now, c)
 		return Verdict{Rejected: true, Reason: why, RetryAfter: retryAfter(why)}
 	}
-	if evict == c { // its own slot, as it carried no request within its grace
+	if evict == c { // the connection was its own candidate, as it carried no request within its grace
 		evict, c.state = nil, awaitingRequest
 		ctl.conns[c] = struct{}{}
 	}
--- a/internal/edge/admission/policy.go
+++ b/internal/edge/admission/policy.go
@@ -1,10 +1,10 @@
 // Package admission decides which client connections a listener admits and rejects, and which idle connections it closes in favour of
 // new ones. It does no I/O and has no clock: the caller reports events with their time.
 //
-// A connection belongs to a source, which is an address or a prefix, and each source to one group: one that the policy defines by
-// networks or certificate names, or the group of all others. A group may have reserved slots. The other slots are shared: while some
-// are free any source may take them; when none is, idle connections of the source with the highest weighted load are closed first. A
-// connection that carries a request is never closed.
+// A connection belongs to a source, which is an address or a prefix. Each source belongs to one group. The policy defines groups by
+// networks or certificate names; all other clients belong to the default group. A group may have reserved slots. The other slots are
+// shared. While some are free, any source may take them. When none is free, idle connections of the source with the highest weighted
+// load are closed first. A connection that carries a request is never closed.
 package admission
 
 import (
@@ -16,40 +16,44 @@
 	"github.com/gaissmai/bart"
 )
 
-// Policy holds the limits of a listener. Group 0 is that of clients of no other group. The reserves must fit into the capacity.
+// Policy holds the limits of a listener. Groups[0] is the default group, of the clients that match no other group. The sum of the
+// reserves must not exceed the capacity.
 type Policy struct {
-	Capacity int // most connections
+	Capacity int // number of connection slots
 	Groups   []Group
-	// IPv4Bits and IPv6Bits are the lengths of the prefix that is a source: a host of an IPv6 network may use many addresses.
+	// IPv4Bits and IPv6Bits are the lengths of the address prefixes that identify a source. A host in an IPv6 network may use many
+	// addresses.
 	IPv4Bits, IPv6Bits int
-	// FreeFactor bounds the slots of a source, by its weight, to this multiple of the free unreserved slots, so that the first
-	// connections of other sources find one (dynamic thresholds: Choudhury and Hahne, 1998); 0: no bound.
+	// FreeFactor limits the slots of a source, divided by its weight, to this multiple of the free unreserved slots. So the first
+	// connections of other sources find a free slot (dynamic thresholds: Choudhury and Hahne, 1998). 0: no limit.
 	FreeFactor float64
-	// IdleProtection is how long an idle connection is protected from new connections of sources with a higher load.
+	// IdleProtection is how long an idle connection cannot be evicted for a new connection of a source with a higher weighted load.
+	// Connections that never carried a request are not protected. 0: none is.
 	IdleProtection time.Duration
-	// RequestGrace is how long a new connection may carry no request before it counts as idle.
+	// RequestGrace is how long a new connection has for its first request before it counts as idle.
 	RequestGrace time.Duration
-	// MaxWait is how long a new connection of a source without one may wait for a slot; 0: not at all.
+	// MaxWait is how long a new connection may wait for a slot if its source holds none; 0: not at all.
 	MaxWait time.Duration
-	// MaxWaiting bounds the connections that wait.
+	// MaxWaiting is the maximum number of connections that wait for a slot.
 	MaxWaiting int
-	// BlockWhenFull has new connections wait in the accept queue; without it they are rejected at once.
+	// BlockWhenFull makes new connections wait in the accept queue while the listener is full; without it they are rejected at once.
 	BlockWhenFull bool
 }
 
 // Group is a group of clients.
 type Group struct {
 	Name string
-	// Networks and CertificateNames ("host.example", or the suffix "*.example") define the members. The longest matching network
-	// counts; a matching name counts more, the first in order.
+	// Networks and CertificateNames ("host.example", or the suffix "*.example") define the members. A matching certificate name takes
+	// precedence over networks; if several names match, the first in the order of the groups applies. Of the networks the longest
+	// matching prefix applies.
 	Networks         []netip.Prefix
 	CertificateNames []string
 	Reserve          int     // reserved slots
 	MaxConns         int     // 0: the listener's capacity
-	MaxPerSource     int     // 0: no bound
-	Rate             float64 // new connections a second of a source; 0: no bound
-	Burst            int
-	Weight           float64 // divides the load of a source; 0: 1
+	MaxPerSource     int     // 0: no limit
+	Rate             float64 // new connections per second from one source; 0: no limit
+	Burst            int     // connections that one source may open at once; at least 1
+	Weight           float64 // divides the load of each source; 0 counts as 1
 	Deny             bool
 }
 
@@ -65,7 +69,7 @@
 	return Policy{Capacity: capacity, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace, BlockWhenFull: true}
 }
 
-// Others is the name of the group of all clients of no other group.
+// Others is the name of the default group, of the clients that match no other group.
 const Others = "others"
 
 // defaultRequestGrace is the RequestGrace of SingleGroup.
@@ -119,7 +123,7 @@
 	return 0, false
 }
 
-// groupOf returns the group of a certificate's names, or else of the address; byName reports the first case.
+// groupOf returns the group that matches a certificate's names, or else the group of the address. byName reports whether a name matched.
 func (ctl *Controller) groupOf(a netip.Addr, names []string) (g *group, byName bool) {
 	n, byName := ctl.groupIndex.lookupNames(names)
 	if !byName {
@@ -131,18 +135,18 @@
 // Reason says why a connection was rejected.
 type Reason uint8
 
-// The reasonCount.
+// Reasons for rejecting a connection.
 const (
 	Denied       Reason = iota // its group is denied
 	RateExceeded               // its source exceeds its rate of new connections
 	SourceFull                 // its source holds as many slots as it may
 	GroupFull                  // its group holds as many slots as it may
-	ListenerFull               // there is no slot that it may take
-	Unidentified               // it was admitted to present a certificate, and belongs to no group with a free slot
+	ListenerFull               // no slot is free for it, and no idle connection can be evicted
+	Unidentified               // it was admitted only to present a certificate, no group matched, and there was no slot for it
 	reasonCount
 )
 
-// String returns the reason in the words of the control socket.
+// String returns the reason as the control socket reports it.
 func (r Reason) String() string {
 	return [...]string{"denied", "too fast", "too many of one source", "group full", "listener full", "not known by its certificate"}[r]
 }
--- a/internal/edge/admission/source.go
+++ b/internal/edge/admission/source.go
@@ -16,10 +16,10 @@
 	inUse     int
 	waiting   int // connections that wait for a slot
 	idle      idleQueue
-	heapIndex int // in its group's heap; -1: it has no idle connection
+	heapIndex int // in its group's idleSources; -1: it has no idle connection
 	rate      *rate.Limiter
 
-	// The list of unused sources, in the order in which they became so.
+	// Position on the controller's list of unused sources.
 	prev, next *source
 	unused     bool
 }
@@ -30,13 +30,13 @@
 	group  string
 }
 
-// weightedLoad returns the slots of a source, divided by the weight of its group.
+// weightedLoad returns the number of slots that a source holds, divided by the weight of its group.
 func (s *source) weightedLoad() float64 { return float64(s.inUse) / s.group.weight() }
 
-// The kinds of list that a connection may be on at a time.
+// The kinds of list. A connection may be on one list of each kind at a time.
 const (
-	primaryList = iota
-	groupIdleList
+	primaryList   = iota // a list of the controller, or the idle queue of the connection's source
+	groupIdleList        // the idle queue of the connection's group
 )
 
 // list is a doubly linked list of connections, each of which may be on one list of each kind.
@@ -87,7 +87,7 @@
 	return &q.used
 }
 
-// shouldEvictBefore reports whether one of two idle connections is evicted before the other, all else being equal.
+// shouldEvictBefore reports whether one of two idle connections is evicted before the other if their sources have the same load.
 func (c *Conn) shouldEvictBefore(than *Conn) bool {
 	if c.neverUsed != than.neverUsed {
 		return c.neverUsed
@@ -95,7 +95,7 @@
 	return c.since.Before(than.since)
 }
 
-// group is the state of a group.
+// group is the state of a group of the policy.
 type group struct {
 	Group
 	inUse, active int
@@ -135,7 +135,7 @@
 	return s
 }
 
-// updateHeap restores the order of the group's heap after a change of the source.
+// updateHeap restores the order of the group's idleSources after a change of the source's load or idle connections.
 func (s *source) updateHeap() {
 	h := &s.group.idleSources
 	switch {
@@ -148,7 +148,7 @@
 	}
 }
 
-// prefixOf returns the prefix of an address that is a source.
+// prefixOf returns the prefix of an address that identifies its source.
 func (ctl *Controller) prefixOf(a netip.Addr) netip.Prefix {
 	a = a.Unmap().WithZone("")
 	bits := ctl.policy.IPv4Bits
@@ -159,7 +159,7 @@
 	return p
 }
 
-// source returns the source of an address in a group, created if needed.
+// source returns the source of an address in a group, and creates it if needed.
 func (ctl *Controller) source(a netip.Addr, g *group) *source {
 	k := sourceKey{ctl.prefixOf(a), g.Name}
 	s := ctl.sources[k]
@@ -171,8 +171,8 @@
 	return s
 }
 
-// keepIfUnused keeps a source without connections until its rate limiter is full, and deletes it where it has none. Beyond the bound
-// those go first that have been unused longest.
+// keepIfUnused puts a source without connections on the list of unused sources until its rate limiter is full. A source without a rate
+// limiter is deleted at once. Beyond maxUnusedSources the longest unused sources are deleted.
 func (ctl *Controller) keepIfUnused(s *source, now time.Time) {
 	if s.inUse+s.waiting > 0 {
 		ctl.removeUnused(s)
@@ -201,10 +201,10 @@
 	}
 }
 
-// maxUnusedSources bounds the sources that are kept for their rate limiter alone.
+// maxUnusedSources bounds the number of sources that are kept only for their rate limiters.
 const maxUnusedSources = 1 << 14
 
-// removeUnused takes a source off the list of unused ones.
+// removeUnused removes a source from the list of unused sources, if it is on that list.
 func (ctl *Controller) removeUnused(s *source) {
 	if !s.unused {
 		return
@@ -225,8 +225,8 @@
 	ctl.unusedCount--
 }
 
-// takeRateToken takes a token of the source's rate limiter for a new connection. It returns the time until there is one, zero where it
-// took one.
+// takeRateToken takes a token of the source's rate limiter for a new connection. It returns 0 if it took one or the group has no rate
+// limit, else the time until a token is available.
 func (s *source) takeRateToken(now time.Time) time.Duration {
 	g := s.group
 	if g.Rate <= 0 {
--- a/internal/edge/admission/status.go
+++ b/internal/edge/admission/status.go
@@ -12,12 +12,12 @@
 	Admitted   uint64
 	Rejected   [reasonCount]uint64
 	Evicted    uint64 // idle connections closed in favour of others
-	Identified uint64 // by a certificate
+	Identified uint64 // connections assigned to the group by a certificate
 }
 
 // Status is the state of a listener's connections, as the control socket reports it.
 type Status struct {
-	Capacity    int            `json:"places"` // current
+	Capacity    int            `json:"places"` // current number of slots
 	MaxCapacity int            `json:"most"`   // configured; more than Capacity after descriptors were exhausted
 	InUse       int            `json:"held"`
 	Identifying int            `json:"proving,omitempty"`
@@ -73,20 +73,20 @@
 	return v
 }
 
-// AddressStatus is the state of an address, as the control socket reports it.
+// AddressStatus says how connections from an address are treated, as the control socket reports it.
 type AddressStatus struct {
 	Group          string  `json:"group"`
 	Source         string  `json:"source"`
-	InUse          int     `json:"held"` // of its source
+	InUse          int     `json:"held"` // slots held by the source of the address
 	MaxConns       int     `json:"most,omitempty"`
 	Rate           float64 `json:"rate,omitempty"`
-	Tokens         float64 `json:"tokens,omitempty"` // connections that it may open at once within its rate
+	Tokens         float64 `json:"tokens,omitempty"` // connections that its source may open at once within the rate
 	ReservedFree   int     `json:"reserved_left"`    // free reserved slots of its group
 	UnreservedFree int     `json:"common_left"`
 	Denied         bool    `json:"denied,omitempty"`
 }
 
-// AddressStatus returns the state of an address, and changes nothing.
+// AddressStatus returns how connections from an address are treated. It changes no state.
 func (ctl *Controller) AddressStatus(now time.Time, a netip.Addr) AddressStatus {
 	g, _ := ctl.groupOf(a, nil)
 	at := AddressStatus{Group: g.Name, Source: ctl.prefixOf(a).String(), MaxConns: g.MaxPerSource, Rate: g.Rate, Denied: g.Deny,
@@ -118,7 +118,7 @@
 	return out
 }
 
-// IdleConns returns the connections that carry no request, for a graceful shutdown.
+// IdleConns returns the connections that a graceful shutdown may close: idle ones, and those that have to present a certificate.
 func (ctl *Controller) IdleConns(now time.Time) (out []*Conn) {
 	ctl.expireGrace(now)
 	for c := range ctl.conns {
@@ -129,7 +129,7 @@
 	return out
 }
 
-// connsByAge returns all connections, ordered by the time of their last change of state.
+// connsByAge returns all connections in the order of Conn.since, the oldest first.
 func (ctl *Controller) connsByAge() []*Conn {
 	all := ctl.Conns()
 	slices.SortFunc(all, func(a, b *Conn) int { return a.since.Compare(b.since) })
--- a/internal/edge/admission/update.go
+++ b/internal/edge/admission/update.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Update puts another policy in force, and assigns all connections to its groups. It returns the idle connections over its limits,
-// which the caller closes.
+// Update replaces the policy, and assigns all connections to the groups of the new one. It returns the idle connections that exceed the
+// new limits, which the caller closes.
 func (ctl *Controller) Update(now time.Time, p Policy) (evict []*Conn) {
 	old := ctl.groups
 	ctl.policy = p
@@ -29,7 +29,7 @@
 	for _, c := range all {
 		ctl.releaseSlot(now, c)
 	}
-	for _, s := range ctl.sources { // they have no connections now
+	for _, s := range ctl.sources { // no source holds a connection at this point
 		i := slices.IndexFunc(ctl.groups, func(g *group) bool { return g.Name == s.key.group })
 		if i < 0 || ctl.groups[i].Rate <= 0 { // without a rate limiter
 			ctl.removeUnused(s)
--- a/internal/edge/admission/waiting.go
+++ b/internal/edge/admission/waiting.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// enqueue lets a new connection wait for a slot, if its source holds none and has fewer connections waiting than its weight.
+// enqueue lets a new connection wait for a slot if its source holds no slot and has fewer waiting connections than its weight. It returns
+// false if the connection may not wait.
 //
-// A slot is often free a moment later, sooner than a rejected client returns. Where slots become free more slowly than MaxWait, waiting
-// connections hold descriptors without gain; their number is bounded.
+// A slot often becomes free within a moment, before a rejected client would retry. If slots become free more slowly than within MaxWait,
+// waiting connections hold file descriptors in vain, so their number is bounded.
 func (ctl *Controller) enqueue(now time.Time, c *Conn, s *source) bool {
 	switch {
 	case ctl.policy.MaxWait <= 0 || ctl.waitingCount >= ctl.policy.MaxWaiting:
@@ -22,7 +23,7 @@
 	return true
 }
 
-// pushWaiting appends a connection to those that wait, for a slot of a source.
+// pushWaiting appends a connection to the list of waiting ones, and counts it for its source.
 func (ctl *Controller) pushWaiting(c *Conn, s *source) {
 	c.waitingSource = s
 	s.waiting++
@@ -31,7 +32,7 @@
 	ctl.waitingCount++
 }
 
-// dequeue removes a connection from those that wait.
+// dequeue removes a connection from the list of waiting ones.
 func (ctl *Controller) dequeue(now time.Time, c *Conn) {
 	ctl.waiting.remove(c, primaryList)
 	ctl.waitingCount--
@@ -41,8 +42,8 @@
 	ctl.keepIfUnused(s, now)
 }
 
-// AdmitWaiting gives free slots to waiting connections, the oldest first. It must be called after whatever may have freed a slot. The
-// caller serves the admitted connections and closes the evicted ones.
+// AdmitWaiting gives slots to waiting connections, the oldest first, until there is no slot for the next one. It must be called after each
+// event that may have freed a slot. The caller serves the admitted connections and closes the evicted ones.
 func (ctl *Controller) AdmitWaiting(now time.Time) (admitted, evicted []*Conn) {
 	if ctl.waitingCount == 0 {
 		return nil, nil
@@ -66,7 +67,7 @@
 	return admitted, evicted
 }
 
-// ExpireWait rejects a connection that still waits after MaxWait.
+// ExpireWait rejects a connection that still waits after MaxWait. It changes nothing for other connections.
 func (ctl *Controller) ExpireWait(now time.Time, c *Conn) Verdict {
 	if c.state != waiting {
 		return Verdict{Conn: c}
