--- a/internal/edge/admission/allocation.go
+++ b/internal/edge/admission/allocation.go
@@ -58,9 +58,9 @@
 		if !from(g) || len(g.idleSources) == 0 {
 			continue
 		}
-		if h := g.idleSources[0]; heaviest == nil || h.weightedLoad() > heaviest.weightedLoad() ||
-			h.weightedLoad() == heaviest.weightedLoad() && h.idle.first().shouldEvictBefore(heaviest.idle.first()) {
-			heaviest = h
+		if top := g.idleSources[0]; heaviest == nil || top.weightedLoad() > heaviest.weightedLoad() ||
+			top.weightedLoad() == heaviest.weightedLoad() && top.idle.first().shouldEvictBefore(heaviest.idle.first()) {
+			heaviest = top
 		}
 		if c := g.idle.first(); oldest == nil || c.shouldEvictBefore(oldest) {
 			oldest = c
--- a/internal/edge/admission/controller.go
+++ b/internal/edge/admission/controller.go
@@ -65,18 +65,19 @@
 
 // Verdict is the decision on a connection. Exactly one of Conn, Rejected and AskAgain is set.
 type Verdict struct {
-	Conn         *Conn // the connection, which is admitted or waits for a slot
-	Waiting      bool  // it has no slot yet: AdmitWaiting may give it one; the caller calls ExpireWait after RetryAfter
-	MustIdentify bool  // it has no slot, and must present a certificate soon
-	Evict        *Conn // the connection that was evicted for it, which the caller closes
+	Conn         *Conn // the connection, if it is admitted or waits for a slot
+	Waiting      bool  // Conn has no slot yet: AdmitWaiting may give it one, and the caller calls ExpireWait after RetryAfter
+	MustIdentify bool  // Conn has no slot, and must present a certificate soon
+	Evict        *Conn // the connection that was evicted for Conn; the caller closes it
 	Rejected     bool
 	Reason       Reason
-	RetryAfter   time.Duration // when a rejected client may retry, 0 if it should not; for Waiting the maximum wait
-	AskAgain     bool          // there is no slot under BlockWhenFull: the caller calls Admit again later
+	RetryAfter   time.Duration // when a rejected client may retry, 0 if it need not; the maximum wait of a waiting connection
+	AskAgain     bool          // the listener is full and BlockWhenFull is set: the caller calls Admit again later
 }
 
 // Retry-After of a rejected connection. On a full listener any connection may free a slot, so slots become free all the time. A source
-// that holds its share gets a slot only when one of its own connections frees one. sourceRetryAfter also applies to the other reasons.
+// that holds its share gets a slot only when one of its own connections frees one. sourceRetryAfter also
+// applies to full groups and to connections without a known certificate.
 const (
 	fullRetryAfter   = 250 * time.Millisecond
 	sourceRetryAfter = time.Second
--- a/internal/edge/admission/exhaustion.go
+++ b/internal/edge/admission/exhaustion.go
@@ -28,8 +28,8 @@
 	if ctl.reducedCapacity >= ctl.policy.Capacity {
 		return ctl.policy.Capacity
 	}
-	back := int(now.Sub(ctl.reducedAt)/recoverInterval) * max(ctl.policy.Capacity/recoverDivisor, 1)
-	return min(ctl.reducedCapacity+back, ctl.policy.Capacity)
+	recovered := int(now.Sub(ctl.reducedAt)/recoverInterval) * max(ctl.policy.Capacity/recoverDivisor, 1)
+	return min(ctl.reducedCapacity+recovered, ctl.policy.Capacity)
 }
 
 // unreservedCapacity returns the current number of slots outside the reserves of all groups.
--- a/internal/edge/admission/identification.go
+++ b/internal/edge/admission/identification.go
@@ -27,29 +27,29 @@
 // it evicts the oldest one of the source with the most of them. If no source would have more of them than the new connection's, it evicts
 // the oldest of all, provided that its identificationGrace is over.
 func (ctl *Controller) admitForIdentification(now time.Time, c *Conn, evict **Conn) bool {
-	most := ctl.policy.MaxIdentifying()
-	if most == 0 {
+	limit := ctl.policy.MaxIdentifying()
+	if limit == 0 {
 		return false
 	}
-	if ctl.identifyingCount >= most {
-		of := map[netip.Prefix]int{}
+	if ctl.identifyingCount >= limit {
+		connsPerPrefix := map[netip.Prefix]int{}
 		for o := ctl.identifying.first; o != nil; o = o.links[primaryList].next {
-			of[ctl.prefixOf(o.addr)]++
+			connsPerPrefix[ctl.prefixOf(o.addr)]++
 		}
-		own := of[ctl.prefixOf(c.addr)] + 1
-		first := ctl.identifying.first
+		ownCount := connsPerPrefix[ctl.prefixOf(c.addr)] + 1
+		candidate := ctl.identifying.first
 		for o := ctl.identifying.first; o != nil; o = o.links[primaryList].next {
-			if of[ctl.prefixOf(o.addr)] > of[ctl.prefixOf(first.addr)] {
-				first = o
+			if connsPerPrefix[ctl.prefixOf(o.addr)] > connsPerPrefix[ctl.prefixOf(candidate.addr)] {
+				candidate = o
 			}
 		}
-		if of[ctl.prefixOf(first.addr)] <= own {
-			if first = ctl.identifying.first; now.Sub(first.since) < identificationGrace {
+		if connsPerPrefix[ctl.prefixOf(candidate.addr)] <= ownCount {
+			if candidate = ctl.identifying.first; now.Sub(candidate.since) < identificationGrace {
 				return false
 			}
 		}
-		*evict = first
-		ctl.remove(now, first)
+		*evict = candidate
+		ctl.remove(now, candidate)
 	}
 	c.state, c.since = identifying, now
 	ctl.conns[c] = struct{}{}
@@ -76,25 +76,25 @@
 		ctl.remove(now, c)
 		return Verdict{Rejected: true, Reason: Denied}
 	}
-	held := c.source != nil
-	if held && c.source.group == g {
+	hadSlot := c.source != nil
+	if hadSlot && c.source.group == g {
 		ctl.finishHandshake(now, c)
 		return Verdict{Conn: c}
 	}
 	s := ctl.source(c.addr, g)
-	evict, why, ok := ctl.allocate(now, g, s)
+	evict, reason, ok := ctl.allocate(now, g, s)
 	if !ok {
 		ctl.keepIfUnused(s, now)
-		if held {
+		if hadSlot {
 			ctl.finishHandshake(now, c)
 			return Verdict{Conn: c}
 		}
 		if !known {
-			why = Unidentified
+			reason = Unidentified
 		}
-		g.counts.Rejected[why]++
+		g.counts.Rejected[reason]++
 		ctl.remove(now, c)
-		return Verdict{Rejected: true, Reason: why, RetryAfter: retryAfter(why)}
+		return Verdict{Rejected: true, Reason: reason, RetryAfter: retryAfter(reason)}
 	}
 	if evict == c { // the connection was its own candidate, as it carried no request within its grace
 		evict, c.state = nil, awaitingRequest
@@ -106,7 +106,7 @@
 	if known {
 		g.counts.Identified++
 	}
-	if !held {
+	if !hadSlot {
 		g.counts.Admitted++
 	}
 	return Verdict{Conn: c, Evict: evict}
--- a/internal/edge/admission/model_test.go
+++ b/internal/edge/admission/model_test.go
@@ -19,7 +19,7 @@
 	policy          Policy
 	now             time.Time
 	conns           []*Conn // open connections: with a slot, waiting, or identifying
-	capacityReduced bool    // the capacity was reduced below the policy's, and may still be
+	capacityReduced bool    // the capacity may be below the policy's, after a reduction or a policy update
 	policyUpdated   bool    // limits may be exceeded by connections admitted under an earlier policy
 }
 
@@ -28,13 +28,16 @@
 	netip.MustParseAddr("2001:db8::ffff:2"), netip.MustParseAddr("2001:db8:0:1::1"), netip.MustParseAddr("10.9.0.1")}
 
 func drawPolicy(t *rapid.T) Policy {
-	p := Policy{IPv4Bits: 32, IPv6Bits: 64, RequestGrace: 300 * time.Millisecond, IdleProtection: time.Duration(rapid.IntRange(0, 2).Draw(t, "idle protection seconds")) * time.Second,
+	p := Policy{IPv4Bits: 32, IPv6Bits: 64, RequestGrace: 300 * time.Millisecond,
+		IdleProtection: time.Duration(rapid.IntRange(0, 2).Draw(t, "idle protection seconds")) * time.Second,
 		Groups: []Group{{Name: Others, MaxPerSource: rapid.SampledFrom([]int{0, 0, 3}).Draw(t, "max per source")},
 			{Name: "known", Networks: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}, CertificateNames: []string{"known", "*.known"},
 				Reserve: rapid.IntRange(0, 4).Draw(t, "reserve")},
-			{Name: "shared", Networks: []netip.Prefix{netip.MustParsePrefix("10.2.0.1/32")}, Weight: 8, Reserve: rapid.IntRange(0, 2).Draw(t, "shared reserve"),
+			{Name: "shared", Networks: []netip.Prefix{netip.MustParsePrefix("10.2.0.1/32")}, Weight: 8,
+				Reserve:  rapid.IntRange(0, 2).Draw(t, "shared reserve"),
 				MaxConns: rapid.SampledFrom([]int{0, 3}).Draw(t, "max connections")},
-			{Name: "bad", Networks: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}, CertificateNames: []string{"bad"}, Deny: rapid.Bool().Draw(t, "deny")}}}
+			{Name: "bad", Networks: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")}, CertificateNames: []string{"bad"},
+				Deny: rapid.Bool().Draw(t, "deny")}}}
 	if rapid.IntRange(0, 3).Draw(t, "rate limited") == 0 {
 		p.Groups[0].Rate, p.Groups[0].Burst = 5, 3
 	}
@@ -49,7 +52,7 @@
 	return p
 }
 
-// expectedGroup returns the group that a connection's certificate names, or else its address, belong to by the policy of the test.
+// expectedGroup returns the group of a connection by its certificate names, or else by its address. It does not use the controller's index.
 func (m *model) expectedGroup(c *Conn) string {
 	for _, n := range c.certificateNames {
 		switch strings.ToLower(n) {
@@ -125,6 +128,7 @@
 	m.conns = slices.Delete(m.conns, i, i+1)
 }
 
+// snapshot is the state before an event, against which the verdict is checked.
 type snapshot struct {
 	groupInUse, sourceInUse, unreservedInUse int
 	evictableLoads                           map[*Conn]float64 // weighted loads of the idle connections that may be evicted
@@ -133,25 +137,28 @@
 	pastIdleGrace                            bool // false: a used connection of the highest load is within idleGrace, so possibly none may be evicted
 }
 
+// takeSnapshot records the state before a connection from an address needs a slot in a group.
 func (m *model) takeSnapshot(name string, a netip.Addr) snapshot {
-	result := snapshot{groupInUse: m.slotsInUse(name, netip.Prefix{}), sourceInUse: m.slotsInUse(name, sourcePrefix(a)), unreservedInUse: m.unreservedInUse(), evictableLoads: map[*Conn]float64{}, states: map[*Conn]state{}, groupNames: map[*Conn]string{}}
+	result := snapshot{groupInUse: m.slotsInUse(name, netip.Prefix{}), sourceInUse: m.slotsInUse(name, sourcePrefix(a)),
+		unreservedInUse: m.unreservedInUse(), evictableLoads: map[*Conn]float64{}, states: map[*Conn]state{}, groupNames: map[*Conn]string{}}
 	m.controller.expireGrace(m.now)
 	for _, c := range m.conns {
 		result.states[c] = c.state
 		if c.source != nil {
 			result.groupNames[c] = c.source.group.Name
 		}
-		if c.source != nil && c.state == idle && (c.source.group.Name == name || m.slotsInUse(c.source.group.Name, netip.Prefix{}) > c.source.group.Reserve) {
+		if c.source != nil && c.state == idle &&
+			(c.source.group.Name == name || m.slotsInUse(c.source.group.Name, netip.Prefix{}) > c.source.group.Reserve) {
 			result.evictableLoads[c] = m.weightedLoad(c)
 		}
 	}
-	most := -1.0
+	highest := -1.0
 	for _, load := range result.evictableLoads {
-		most = max(most, load)
+		highest = max(highest, load)
 	}
 	result.pastIdleGrace = true
 	for c, load := range result.evictableLoads {
-		if load == most && !c.neverUsed && m.now.Sub(c.since) < idleGrace {
+		if load == highest && !c.neverUsed && m.now.Sub(c.since) < idleGrace {
 			result.pastIdleGrace = false
 		}
 	}
@@ -175,12 +182,14 @@
 		return
 	case !v.Rejected && !v.MustIdentify && !v.Waiting && v.Evict == nil && atLimit:
 		m.t.Fatalf("a connection of group %s was admitted beyond the limit of its group or source", name)
-	case !v.Rejected && !v.MustIdentify && !v.Waiting && v.Evict == nil && !m.capacityReduced && before.groupInUse >= g.Reserve && m.policy.FreeFactor > 0 &&
+	case !v.Rejected && !v.MustIdentify && !v.Waiting && v.Evict == nil && !m.capacityReduced &&
+		before.groupInUse >= g.Reserve && m.policy.FreeFactor > 0 &&
 		float64(before.sourceInUse+1)/g.weight() > m.policy.FreeFactor*float64(m.policy.Capacity-m.reservedSlots()-before.unreservedInUse):
 		m.t.Fatalf("a source of group %s with %d slots got one more, beyond its share", name, before.sourceInUse)
 	case v.Evict != nil && before.states[v.Evict] == idle && !atLimit:
 		newLoad := float64(before.sourceInUse+1) / g.weight()
-		sameSource := sourcePrefix(v.Evict.addr) == sourcePrefix(a) && before.groupNames[v.Evict] == name // the source may be beyond its share, and then evicts its own
+		// A source beyond its share evicts its own connections.
+		sameSource := sourcePrefix(v.Evict.addr) == sourcePrefix(a) && before.groupNames[v.Evict] == name
 		for c, load := range before.evictableLoads {
 			if load > before.evictableLoads[v.Evict] && m.policy.IdleProtection == 0 && !sameSource {
 				m.t.Fatalf("evicted a connection of weighted load %v, though one of %v (%v) was idle", before.evictableLoads[v.Evict], load, c.addr)
@@ -191,7 +200,8 @@
 			m.t.Fatalf("a source of weighted load %v evicted a connection of load %v within IdleProtection", newLoad, before.evictableLoads[v.Evict])
 		}
 	case v.Waiting && (before.sourceInUse > 0 || atLimit):
-		m.t.Fatalf("a connection of a source of group %s with %d slots may wait, want only sources without a slot and below their limits", name, before.sourceInUse)
+		m.t.Fatalf("a connection of a source of group %s with %d slots may wait, want only sources without a slot and below their limits",
+			name, before.sourceInUse)
 	case (v.Rejected || v.Waiting) && !atLimit:
 		if before.groupInUse < g.Reserve {
 			m.t.Fatalf("a connection of group %s was rejected (%v) with %d of %d reserved slots in use", name, v.Reason, before.groupInUse, g.Reserve)
@@ -203,14 +213,16 @@
 			}
 			return
 		}
-		if m.capacityReduced && m.policy.FreeFactor > 0 && (v.Reason == SourceFull || v.Reason == Unidentified) { // fewer slots are free than by the policy
-			return
+		if m.capacityReduced && m.policy.FreeFactor > 0 && (v.Reason == SourceFull || v.Reason == Unidentified) {
+			return // fewer slots are free than by the policy
 		}
 		if !m.capacityReduced && free > 0 {
-			m.t.Fatalf("a connection of group %s was rejected (%v) with %d of %d unreserved slots in use", name, v.Reason, before.unreservedInUse, m.policy.Capacity-m.reservedSlots())
+			m.t.Fatalf("a connection of group %s was rejected (%v) with %d of %d unreserved slots in use",
+				name, v.Reason, before.unreservedInUse, m.policy.Capacity-m.reservedSlots())
 		}
 		for c, load := range before.evictableLoads {
-			if (load >= float64(before.sourceInUse+1)/g.weight() || m.policy.IdleProtection == 0) && (m.policy.IdleProtection == 0 || before.pastIdleGrace) {
+			if (load >= float64(before.sourceInUse+1)/g.weight() || m.policy.IdleProtection == 0) &&
+				(m.policy.IdleProtection == 0 || before.pastIdleGrace) {
 				m.t.Fatalf("a connection of group %s was rejected though one from %v of weighted load %v was idle", name, c.addr, load)
 			}
 		}
@@ -224,10 +236,12 @@
 		m.t.Fatalf("the controller has %d connections, want %d", len(controller.conns), len(m.conns))
 	}
 	if controller.inUse != m.slotsInUse("", netip.Prefix{}) || controller.unreservedInUse != m.unreservedInUse() {
-		m.t.Fatalf("slots in use %d, unreserved %d; want %d, %d", controller.inUse, controller.unreservedInUse, m.slotsInUse("", netip.Prefix{}), m.unreservedInUse())
+		m.t.Fatalf("slots in use %d, unreserved %d; want %d, %d",
+			controller.inUse, controller.unreservedInUse, m.slotsInUse("", netip.Prefix{}), m.unreservedInUse())
 	}
 	if !m.policyUpdated && (controller.inUse > m.policy.Capacity || m.unreservedInUse() > m.policy.Capacity-m.reservedSlots()) {
-		m.t.Fatalf("%d slots in use, %d of them unreserved, exceed the capacity of %d or its unreserved part", controller.inUse, m.unreservedInUse(), m.policy.Capacity)
+		m.t.Fatalf("%d slots in use, %d of them unreserved, exceed the capacity of %d or its unreserved part",
+			controller.inUse, m.unreservedInUse(), m.policy.Capacity)
 	}
 	identifyingCount, waitingCount := 0, 0
 	for _, c := range m.conns {
@@ -237,7 +251,8 @@
 		}
 		if c.state == waiting {
 			waitingCount++
-			if c.source != nil || c.waitingSource == nil || m.slotsInUse(c.waitingSource.group.Name, sourcePrefix(c.addr)) != c.waitingSource.inUse {
+			if c.source != nil || c.waitingSource == nil ||
+				m.slotsInUse(c.waitingSource.group.Name, sourcePrefix(c.addr)) != c.waitingSource.inUse {
 				m.t.Fatal("a waiting connection holds a slot, has no source to wait for, or its source's count is wrong")
 			}
 			continue
@@ -247,10 +262,12 @@
 		}
 	}
 	if identifyingCount != controller.identifyingCount || identifyingCount > m.policy.MaxIdentifying() && !m.policyUpdated {
-		m.t.Fatalf("%d connections identifying; the controller counts %d, at most %d allowed", identifyingCount, controller.identifyingCount, m.policy.MaxIdentifying())
+		m.t.Fatalf("%d connections identifying; the controller counts %d, at most %d allowed",
+			identifyingCount, controller.identifyingCount, m.policy.MaxIdentifying())
 	}
 	if waitingCount != controller.waitingCount || waitingCount > m.policy.MaxWaiting && !m.policyUpdated {
-		m.t.Fatalf("%d connections waiting; the controller counts %d, at most %d allowed", waitingCount, controller.waitingCount, m.policy.MaxWaiting)
+		m.t.Fatalf("%d connections waiting; the controller counts %d, at most %d allowed",
+			waitingCount, controller.waitingCount, m.policy.MaxWaiting)
 	}
 	for k, s := range controller.sources {
 		inUse, idleCount := 0, 0
@@ -271,7 +288,8 @@
 			}
 		}
 		if inUse != s.inUse || idleCount != 0 || (s.heapIndex >= 0) != (s.idle.first() != nil) || inUse == 0 && s.rate == nil && s.waiting == 0 {
-			m.t.Fatalf("source %v: %d connections, the controller counts %d; %d more idle than listed, heap index %d", k, s.inUse, inUse, idleCount, s.heapIndex)
+			m.t.Fatalf("source %v: the controller counts %d connections, want %d; %d more idle than listed, heap index %d",
+				k, s.inUse, inUse, idleCount, s.heapIndex)
 		}
 	}
 	for _, g := range controller.groups {
@@ -322,6 +340,8 @@
 	}
 }
 
+// Random sequences of connections, requests, certificates, policy updates and capacity reductions must not break the rules of admission, nor
+// leave a count, list or heap of the controller wrong. No connection that carries a request may be evicted.
 func TestRandomEventsKeepAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, policy: drawPolicy(t), now: time.Unix(1e9, 0)}
@@ -351,7 +371,8 @@
 			name := m.groupOfAddress(a)
 			before := m.takeSnapshot(name, a)
 			v := m.controller.Admit(m.now, a, rapid.Bool().Draw(t, "TLS"), nil)
-			if v.Rejected == (v.Conn != nil) || v.Rejected && v.Reason != Denied && v.RetryAfter <= 0 || m.group(name).Deny != (v.Rejected && v.Reason == Denied) {
+			if v.Rejected == (v.Conn != nil) || v.Rejected && v.Reason != Denied && v.RetryAfter <= 0 ||
+				m.group(name).Deny != (v.Rejected && v.Reason == Denied) {
 				t.Fatalf("inconsistent verdict on a new connection: %+v", v)
 			}
 			if !v.MustIdentify {
@@ -471,7 +492,8 @@
 func TestConnectionIsEvictedOnlyAfterHandshakeAndRequestGrace(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	at := start.Add
-	controller := New(Policy{Capacity: 1, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace, IdleProtection: time.Second}, start)
+	controller := New(Policy{Capacity: 1, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace,
+		IdleProtection: time.Second}, start)
 	first := controller.Admit(start, addrs[0], true, nil).Conn
 	if v := controller.Admit(at(900*time.Millisecond), addrs[1], true, nil); !v.Rejected {
 		t.Errorf("new connection during the handshake of the first: got %+v, want it rejected", v)
@@ -498,7 +520,7 @@
 		controller.Remove(now, v.Conn)
 	}
 	if len(controller.sources) != maxUnusedSources {
-		t.Errorf("%d sources are kept, more or fewer than maxUnusedSources", len(controller.sources))
+		t.Errorf("%d sources are kept, want maxUnusedSources", len(controller.sources))
 	}
 	now = now.Add(2 * time.Second)
 	v := controller.Admit(now, netip.MustParseAddr("10.0.0.1"), false, nil)
--- a/internal/edge/admission/policy.go
+++ b/internal/edge/admission/policy.go
@@ -54,7 +54,7 @@
 	Rate             float64 // new connections per second from one source; 0: no limit
 	Burst            int     // connections that one source may open at once; at least 1
 	Weight           float64 // divides the load of each source; 0 counts as 1
-	Deny             bool
+	Deny             bool    // rejects all connections of the group
 }
 
 func (g *Group) weight() float64 {
@@ -87,37 +87,37 @@
 }
 
 func newGroupIndex(groups []Group) *groupIndex {
-	m := &groupIndex{}
+	index := &groupIndex{}
 	for i, g := range groups {
 		for _, n := range g.Networks {
-			m.networks.Insert(n.Masked(), i)
+			index.networks.Insert(n.Masked(), i)
 		}
 		for _, n := range g.CertificateNames {
-			m.patterns = append(m.patterns, namePattern{strings.ToLower(strings.TrimPrefix(n, "*")), i})
+			index.patterns = append(index.patterns, namePattern{strings.ToLower(strings.TrimPrefix(n, "*")), i})
 		}
 	}
-	return m
+	return index
 }
 
 // lookupAddress returns the group of an address, 0 where no network contains it.
-func (m *groupIndex) lookupAddress(a netip.Addr) int {
-	if g, ok := m.networks.Lookup(a.Unmap().WithZone("")); ok {
+func (index *groupIndex) lookupAddress(a netip.Addr) int {
+	if g, ok := index.networks.Lookup(a.Unmap().WithZone("")); ok {
 		return g
 	}
 	return 0
 }
 
 // lookupNames returns the first group that one of a certificate's names belongs to.
-func (m *groupIndex) lookupNames(names []string) (group int, ok bool) {
-	for _, n := range m.patterns {
-		if slices.ContainsFunc(names, func(is string) bool {
-			is = strings.ToLower(is)
-			if n.text[0] == '.' {
-				return len(is) > len(n.text) && strings.HasSuffix(is, n.text)
+func (index *groupIndex) lookupNames(names []string) (group int, ok bool) {
+	for _, pattern := range index.patterns {
+		if slices.ContainsFunc(names, func(name string) bool {
+			name = strings.ToLower(name)
+			if pattern.text[0] == '.' {
+				return len(name) > len(pattern.text) && strings.HasSuffix(name, pattern.text)
 			}
-			return is == n.text
+			return name == pattern.text
 		}) {
-			return n.group, true
+			return pattern.group, true
 		}
 	}
 	return 0, false
--- a/internal/edge/admission/source.go
+++ b/internal/edge/admission/source.go
@@ -53,16 +53,16 @@
 }
 
 func (l *list) remove(c *Conn, kind int) {
-	is := c.links[kind]
-	if is.prev != nil {
-		is.prev.links[kind].next = is.next
+	removed := c.links[kind]
+	if removed.prev != nil {
+		removed.prev.links[kind].next = removed.next
 	} else {
-		l.first = is.next
+		l.first = removed.next
 	}
-	if is.next != nil {
-		is.next.links[kind].prev = is.prev
+	if removed.next != nil {
+		removed.next.links[kind].prev = removed.prev
 	} else {
-		l.last = is.prev
+		l.last = removed.prev
 	}
 	c.links[kind] = link{}
 }
@@ -88,11 +88,11 @@
 }
 
 // shouldEvictBefore reports whether one of two idle connections is evicted before the other if their sources have the same load.
-func (c *Conn) shouldEvictBefore(than *Conn) bool {
-	if c.neverUsed != than.neverUsed {
+func (c *Conn) shouldEvictBefore(other *Conn) bool {
+	if c.neverUsed != other.neverUsed {
 		return c.neverUsed
 	}
-	return c.since.Before(than.since)
+	return c.since.Before(other.since)
 }
 
 // group is the state of a group of the policy.
--- a/internal/edge/admission/status.go
+++ b/internal/edge/admission/status.go
@@ -48,29 +48,30 @@
 
 // Status returns the state of the connections, with at most the given number of sources.
 func (ctl *Controller) Status(now time.Time, sources int) Status {
-	v := Status{Capacity: ctl.capacity(now), MaxCapacity: ctl.policy.Capacity, InUse: ctl.inUse, Identifying: ctl.identifyingCount, Waiting: ctl.waitingCount}
-	of := map[*group]int{}
+	status := Status{Capacity: ctl.capacity(now), MaxCapacity: ctl.policy.Capacity, InUse: ctl.inUse,
+		Identifying: ctl.identifyingCount, Waiting: ctl.waitingCount}
+	sourceCounts := map[*group]int{}
 	for _, s := range ctl.sources {
 		if s.inUse > 0 {
-			of[s.group]++
-			v.Sources = append(v.Sources, SourceStatus{s.key.prefix.String(), s.group.Name, s.inUse})
+			sourceCounts[s.group]++
+			status.Sources = append(status.Sources, SourceStatus{s.key.prefix.String(), s.group.Name, s.inUse})
 		}
 	}
-	slices.SortFunc(v.Sources, func(a, b SourceStatus) int {
+	slices.SortFunc(status.Sources, func(a, b SourceStatus) int {
 		return cmp.Or(b.InUse-a.InUse, cmp.Compare(a.Source, b.Source), cmp.Compare(a.Group, b.Group))
 	})
-	v.Sources = v.Sources[:min(len(v.Sources), sources)]
+	status.Sources = status.Sources[:min(len(status.Sources), sources)]
 	for _, g := range ctl.groups {
-		gv := GroupStatus{Name: g.Name, InUse: g.inUse, Active: g.active, Reserve: g.Reserve, Sources: of[g], Admitted: g.counts.Admitted,
-			Identified: g.counts.Identified, Evicted: g.counts.Evicted, Rejected: map[string]uint64{}}
+		groupStatus := GroupStatus{Name: g.Name, InUse: g.inUse, Active: g.active, Reserve: g.Reserve, Sources: sourceCounts[g],
+			Admitted: g.counts.Admitted, Identified: g.counts.Identified, Evicted: g.counts.Evicted, Rejected: map[string]uint64{}}
 		for r, n := range g.counts.Rejected {
 			if n > 0 {
-				gv.Rejected[Reason(r).String()] = n
+				groupStatus.Rejected[Reason(r).String()] = n
 			}
 		}
-		v.Groups = append(v.Groups, gv)
+		status.Groups = append(status.Groups, groupStatus)
 	}
-	return v
+	return status
 }
 
 // AddressStatus says how connections from an address are treated, as the control socket reports it.
@@ -89,18 +90,18 @@
 // AddressStatus returns how connections from an address are treated. It changes no state.
 func (ctl *Controller) AddressStatus(now time.Time, a netip.Addr) AddressStatus {
 	g, _ := ctl.groupOf(a, nil)
-	at := AddressStatus{Group: g.Name, Source: ctl.prefixOf(a).String(), MaxConns: g.MaxPerSource, Rate: g.Rate, Denied: g.Deny,
+	status := AddressStatus{Group: g.Name, Source: ctl.prefixOf(a).String(), MaxConns: g.MaxPerSource, Rate: g.Rate, Denied: g.Deny,
 		ReservedFree: max(g.Reserve-g.inUse, 0), UnreservedFree: max(ctl.unreservedCapacity(now)-ctl.unreservedInUse, 0)}
 	if g.Rate > 0 {
-		at.Tokens = float64(max(g.Burst, 1))
+		status.Tokens = float64(max(g.Burst, 1))
 	}
 	if s := ctl.sources[sourceKey{ctl.prefixOf(a), g.Name}]; s != nil {
-		at.InUse = s.inUse
+		status.InUse = s.inUse
 		if s.rate != nil {
-			at.Tokens = s.rate.TokensAt(now)
+			status.Tokens = s.rate.TokensAt(now)
 		}
 	}
-	return at
+	return status
 }
 
 // Count returns the number of connections that hold a slot or wait for one.
--- a/internal/edge/admission/update.go
+++ b/internal/edge/admission/update.go
@@ -15,13 +15,13 @@
 	ctl.reserved = 0
 	ctl.reducedCapacity = p.Capacity
 	for _, g := range p.Groups {
-		is := &group{Group: g}
+		created := &group{Group: g}
 		for _, o := range old {
 			if o.Name == g.Name {
-				is.counts = o.counts
+				created.counts = o.counts
 			}
 		}
-		ctl.groups = append(ctl.groups, is)
+		ctl.groups = append(ctl.groups, created)
 		ctl.reserved += g.Reserve
 	}
 	all := ctl.connsByAge()
--- a/internal/edge/certs/certs_test.go
+++ b/internal/edge/certs/certs_test.go
@@ -12,7 +12,8 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// Files that change hold from then on; those that can't be used change nothing, which is logged once for each fault.
+// Changed files are used from the next call of Current on. Files that cannot be loaded leave the previous content in use, and each error is
+// logged once.
 func TestChangedFilesAreReloadedAndFaultyFilesAreIgnored(t *testing.T) {
 	folder := t.TempDir()
 	authority, err := fake.NewAuthority(folder, "authority")
@@ -20,11 +21,11 @@
 		t.Fatal(err)
 	}
 	files := Files{filepath.Join(folder, "x.pem"), filepath.Join(folder, "x.key"), authority.File}
-	step := time.Now()
-	touch := func(path string) { // a file system may tell times in coarse steps
+	modTime := time.Now()
+	touch := func(path string) { // sets a later modification time, as file systems may record times coarsely
 		t.Helper()
-		step = step.Add(time.Minute)
-		if err := os.Chtimes(path, step, step); err != nil {
+		modTime = modTime.Add(time.Minute)
+		if err := os.Chtimes(path, modTime, modTime); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -38,37 +39,38 @@
 	}
 	issue("first")
 	var log lbtest.Log
-	p, err := Open(files, slog.New(slog.NewTextHandler(&log, nil)))
+	reloader, err := Open(files, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	shows := func(want string, number int) {
+	checkCurrent := func(wantName string, wantGeneration int) {
 		t.Helper()
-		pair, roots, nth := p.Current()
+		pair, roots, generation := reloader.Current()
 		leaf, err := x509.ParseCertificate(pair.Certificate[0])
-		if err != nil || leaf.DNSNames[0] != want || nth != number || roots == nil {
-			t.Errorf("%v, %v, number %d; want %s, number %d", leaf.DNSNames, err, nth, want, number)
+		if err != nil || leaf.DNSNames[0] != wantName || generation != wantGeneration || roots == nil {
+			t.Errorf("certificate for %v (error %v), generation %d; want %s, generation %d, with authorities",
+				leaf.DNSNames, err, generation, wantName, wantGeneration)
 		}
 	}
-	shows("first", 1)
-	shows("first", 1)
+	checkCurrent("first", 1)
+	checkCurrent("first", 1)
 	issue("second")
-	shows("second", 2)
+	checkCurrent("second", 2)
 	if err := os.WriteFile(files.Authority, []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	touch(files.Authority)
-	shows("second", 2)
-	shows("second", 2)
-	if !log.Contains("holds no certificate") {
+	checkCurrent("second", 2)
+	checkCurrent("second", 2)
+	if !log.Contains("contains no PEM certificate") {
 		t.Error(log.String())
 	}
-	said := log.String()
-	shows("second", 2)
-	if log.String() != said {
-		t.Error("one fault was logged again")
+	logged := log.String()
+	checkCurrent("second", 2)
+	if log.String() != logged {
+		t.Error("the same error was logged again")
 	}
 	if _, err := Open(Files{Certificate: files.Certificate, Key: files.Authority}, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a pair that does not fit was taken")
+		t.Error("Open accepted a file without a private key as the key")
 	}
 }
