--- a/internal/edge/admission/policy.go
+++ b/internal/edge/admission/policy.go
@@ -28,7 +28,7 @@
 	// connections of other sources find a free slot (dynamic thresholds: Choudhury and Hahne, 1998). 0: no limit.
 	FreeFactor float64
 	// IdleProtection is how long an idle connection cannot be evicted for a new connection of a source with a higher weighted load.
-	// Connections that never carried a request are not protected. 0: none is.
+	// Connections that never carried a request are not protected. 0: no protection.
 	IdleProtection time.Duration
 	// RequestGrace is how long a new connection has for its first request before it counts as idle.
 	RequestGrace time.Duration
@@ -52,7 +52,7 @@
 	MaxConns         int     // 0: the listener's capacity
 	MaxPerSource     int     // 0: no limit
 	Rate             float64 // new connections per second from one source; 0: no limit
-	Burst            int     // connections that one source may open at once; at least 1
+	Burst            int     // connections that one source may open at once; less than 1 counts as 1
 	Weight           float64 // divides the load of each source; 0 counts as 1
 	Deny             bool    // rejects all connections of the group
 }
