--- a/internal/edge/admission/identification.go
+++ b/internal/edge/admission/identification.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// MaxIdentifying returns how many connections may present their certificates at a time beyond the capacity.
+// MaxIdentifying returns how many connections may be admitted beyond the capacity at a time to present their certificates.
 func (p *Policy) MaxIdentifying() int {
 	n := 0
 	for _, g := range p.Groups {
@@ -17,47 +17,49 @@
 }
 
 const (
+	// maxIdentifying bounds MaxIdentifying for large reserves.
 	maxIdentifying = 256
 	// identificationGrace is how long a connection has to present its certificate before another may replace it.
 	identificationGrace = 250 * time.Millisecond
 )
 
-// admitForIdentification admits a connection to present its certificate. Where too many do, one of them is evicted: the oldest of the
-// source with the most of them, or the oldest of all once its grace is over.
+// admitForIdentification admits a connection beyond the capacity to present its certificate. If MaxIdentifying connections do so already,
+// it evicts the oldest one of the source with the most of them. If no source would have more of them than the new connection's, it evicts
+// the oldest of all, provided that its identificationGrace is over.
 func (ctl *Controller) admitForIdentification(now time.Time, c *Conn, evict **Conn) bool {
-	most := ctl.policy.MaxIdentifying()
-	if most == 0 {
+	limit := ctl.policy.MaxIdentifying()
+	if limit == 0 {
 		return false
 	}
-	if ctl.identifyingCount >= most {
-		of := map[netip.Prefix]int{}
-		for o := ctl.identifying.first; o != nil; o = o.links[ofSource].next {
-			of[ctl.prefixOf(o.addr)]++
+	if ctl.identifyingCount >= limit {
+		connsPerPrefix := map[netip.Prefix]int{}
+		for o := ctl.identifying.first; o != nil; o = o.links[primaryList].next {
+			connsPerPrefix[ctl.prefixOf(o.addr)]++
 		}
-		own := of[ctl.prefixOf(c.addr)] + 1
-		first := ctl.identifying.first
-		for o := ctl.identifying.first; o != nil; o = o.links[ofSource].next {
-			if of[ctl.prefixOf(o.addr)] > of[ctl.prefixOf(first.addr)] {
-				first = o
+		ownCount := connsPerPrefix[ctl.prefixOf(c.addr)] + 1
+		candidate := ctl.identifying.first
+		for o := ctl.identifying.first; o != nil; o = o.links[primaryList].next {
+			if connsPerPrefix[ctl.prefixOf(o.addr)] > connsPerPrefix[ctl.prefixOf(candidate.addr)] {
+				candidate = o
 			}
 		}
-		if of[ctl.prefixOf(first.addr)] <= own {
-			if first = ctl.identifying.first; now.Sub(first.since) < identificationGrace {
+		if connsPerPrefix[ctl.prefixOf(candidate.addr)] <= ownCount {
+			if candidate = ctl.identifying.first; now.Sub(candidate.since) < identificationGrace {
 				return false
 			}
 		}
-		*evict = first
-		ctl.remove(now, first)
+		*evict = candidate
+		ctl.remove(now, candidate)
 	}
 	c.state, c.since = identifying, now
 	ctl.conns[c] = struct{}{}
-	ctl.identifying.push(c, ofSource)
+	ctl.identifying.push(c, primaryList)
 	ctl.identifyingCount++
 	return true
 }
 
-// Identify records the names of a connection's verified certificate; none: it has presented none. A rejected connection is to be
-// answered and closed. One that holds a slot keeps it.
+// Identify records the names of a connection's verified certificate; names is empty if the client presented none. The caller sends a
+// response on a rejected connection and closes it. A connection that holds a slot is rejected only if its group is denied.
 func (ctl *Controller) Identify(now time.Time, c *Conn, names []string) Verdict {
 	ctl.expireGrace(now)
 	if c.state == closed {
@@ -74,37 +76,37 @@
 		ctl.remove(now, c)
 		return Verdict{Rejected: true, Reason: Denied}
 	}
-	held := c.source != nil
-	if held && c.source.group == g {
+	hadSlot := c.source != nil
+	if hadSlot && c.source.group == g {
 		ctl.finishHandshake(now, c)
 		return Verdict{Conn: c}
 	}
 	s := ctl.source(c.addr, g)
-	evict, why, ok := ctl.allocate(now, g, s)
+	evict, reason, ok := ctl.allocate(now, g, s)
 	if !ok {
 		ctl.keepIfUnused(s, now)
-		if held {
+		if hadSlot {
 			ctl.finishHandshake(now, c)
 			return Verdict{Conn: c}
 		}
 		if !known {
-			why = Unidentified
+			reason = Unidentified
 		}
-		g.counts.Rejected[why]++
+		g.counts.Rejected[reason]++
 		ctl.remove(now, c)
-		return Verdict{Rejected: true, Reason: why, RetryAfter: retryAfter(why)}
+		return Verdict{Rejected: true, Reason: reason, RetryAfter: retryAfter(reason)}
 	}
-	if evict == c { // its own slot, as it carried no request within its grace
+	if evict == c { // the connection was its own candidate, as it carried no request within its grace
 		evict, c.state = nil, awaitingRequest
 		ctl.conns[c] = struct{}{}
 	}
-	ctl.vacate(now, c)
-	ctl.occupy(c, g)
+	ctl.releaseSlot(now, c)
+	ctl.acquireSlot(c, g)
 	ctl.awaitRequest(now, c, false)
 	if known {
 		g.counts.Identified++
 	}
-	if !held {
+	if !hadSlot {
 		g.counts.Admitted++
 	}
 	return Verdict{Conn: c, Evict: evict}
--- a/internal/edge/admission/status.go
+++ b/internal/edge/admission/status.go
@@ -10,14 +10,14 @@
 // Counts are the counters of a group since the start of the process.
 type Counts struct {
 	Admitted   uint64
-	Rejected   [reasons]uint64
+	Rejected   [reasonCount]uint64
 	Evicted    uint64 // idle connections closed in favour of others
-	Identified uint64 // by a certificate
+	Identified uint64 // connections assigned to the group by a certificate
 }
 
 // Status is the state of a listener's connections, as the control socket reports it.
 type Status struct {
-	Capacity    int            `json:"places"` // current
+	Capacity    int            `json:"places"` // current number of slots
 	MaxCapacity int            `json:"most"`   // configured; more than Capacity after descriptors were exhausted
 	InUse       int            `json:"held"`
 	Identifying int            `json:"proving,omitempty"`
@@ -48,59 +48,60 @@
 
 // Status returns the state of the connections, with at most the given number of sources.
 func (ctl *Controller) Status(now time.Time, sources int) Status {
-	v := Status{Capacity: ctl.capacity(now), MaxCapacity: ctl.policy.Capacity, InUse: ctl.inUse, Identifying: ctl.identifyingCount, Waiting: ctl.waitingCount}
-	of := map[*group]int{}
+	status := Status{Capacity: ctl.capacity(now), MaxCapacity: ctl.policy.Capacity, InUse: ctl.inUse,
+		Identifying: ctl.identifyingCount, Waiting: ctl.waitingCount}
+	sourceCounts := map[*group]int{}
 	for _, s := range ctl.sources {
 		if s.inUse > 0 {
-			of[s.group]++
-			v.Sources = append(v.Sources, SourceStatus{s.key.prefix.String(), s.group.Name, s.inUse})
+			sourceCounts[s.group]++
+			status.Sources = append(status.Sources, SourceStatus{s.key.prefix.String(), s.group.Name, s.inUse})
 		}
 	}
-	slices.SortFunc(v.Sources, func(a, b SourceStatus) int {
+	slices.SortFunc(status.Sources, func(a, b SourceStatus) int {
 		return cmp.Or(b.InUse-a.InUse, cmp.Compare(a.Source, b.Source), cmp.Compare(a.Group, b.Group))
 	})
-	v.Sources = v.Sources[:min(len(v.Sources), sources)]
+	status.Sources = status.Sources[:min(len(status.Sources), sources)]
 	for _, g := range ctl.groups {
-		gv := GroupStatus{Name: g.Name, InUse: g.inUse, Active: g.active, Reserve: g.Reserve, Sources: of[g], Admitted: g.counts.Admitted,
-			Identified: g.counts.Identified, Evicted: g.counts.Evicted, Rejected: map[string]uint64{}}
+		groupStatus := GroupStatus{Name: g.Name, InUse: g.inUse, Active: g.active, Reserve: g.Reserve, Sources: sourceCounts[g],
+			Admitted: g.counts.Admitted, Identified: g.counts.Identified, Evicted: g.counts.Evicted, Rejected: map[string]uint64{}}
 		for r, n := range g.counts.Rejected {
 			if n > 0 {
-				gv.Rejected[Reason(r).String()] = n
+				groupStatus.Rejected[Reason(r).String()] = n
 			}
 		}
-		v.Groups = append(v.Groups, gv)
+		status.Groups = append(status.Groups, groupStatus)
 	}
-	return v
+	return status
 }
 
-// AddressStatus is the state of an address, as the control socket reports it.
+// AddressStatus says how connections from an address are treated, as the control socket reports it.
 type AddressStatus struct {
 	Group          string  `json:"group"`
 	Source         string  `json:"source"`
-	InUse          int     `json:"held"` // of its source
+	InUse          int     `json:"held"` // slots held by the source of the address
 	MaxConns       int     `json:"most,omitempty"`
 	Rate           float64 `json:"rate,omitempty"`
-	Tokens         float64 `json:"tokens,omitempty"` // connections that it may open at once within its rate
+	Tokens         float64 `json:"tokens,omitempty"` // connections that its source may open at once within the rate
 	ReservedFree   int     `json:"reserved_left"`    // free reserved slots of its group
 	UnreservedFree int     `json:"common_left"`
 	Denied         bool    `json:"denied,omitempty"`
 }
 
-// AddressStatus returns the state of an address, and changes nothing.
+// AddressStatus returns how connections from an address are treated. It changes no state.
 func (ctl *Controller) AddressStatus(now time.Time, a netip.Addr) AddressStatus {
 	g, _ := ctl.groupOf(a, nil)
-	at := AddressStatus{Group: g.Name, Source: ctl.prefixOf(a).String(), MaxConns: g.MaxPerSource, Rate: g.Rate, Denied: g.Deny,
+	status := AddressStatus{Group: g.Name, Source: ctl.prefixOf(a).String(), MaxConns: g.MaxPerSource, Rate: g.Rate, Denied: g.Deny,
 		ReservedFree: max(g.Reserve-g.inUse, 0), UnreservedFree: max(ctl.unreservedCapacity(now)-ctl.unreservedInUse, 0)}
 	if g.Rate > 0 {
-		at.Tokens = float64(max(g.Burst, 1))
+		status.Tokens = float64(max(g.Burst, 1))
 	}
 	if s := ctl.sources[sourceKey{ctl.prefixOf(a), g.Name}]; s != nil {
-		at.InUse = s.inUse
+		status.InUse = s.inUse
 		if s.rate != nil {
-			at.Tokens = s.rate.TokensAt(now)
+			status.Tokens = s.rate.TokensAt(now)
 		}
 	}
-	return at
+	return status
 }
 
 // Count returns the number of connections that hold a slot or wait for one.
@@ -118,7 +119,7 @@
 	return out
 }
 
-// IdleConns returns the connections that carry no request, for a graceful shutdown.
+// IdleConns returns the connections that a graceful shutdown may close: idle ones, and those that have to present a certificate.
 func (ctl *Controller) IdleConns(now time.Time) (out []*Conn) {
 	ctl.expireGrace(now)
 	for c := range ctl.conns {
@@ -129,7 +130,7 @@
 	return out
 }
 
-// connsByAge returns all connections, ordered by the time of their last change of state.
+// connsByAge returns all connections in the order of Conn.since, the oldest first.
 func (ctl *Controller) connsByAge() []*Conn {
 	all := ctl.Conns()
 	slices.SortFunc(all, func(a, b *Conn) int { return a.since.Compare(b.since) })
--- a/internal/edge/admission/update.go
+++ b/internal/edge/admission/update.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Update puts another policy in force, and assigns all connections to its groups. It returns the idle connections over its limits,
-// which the caller closes.
+// Update replaces the policy, and assigns all connections to the groups of the new one. It returns the idle connections that exceed the
+// new limits, which the caller closes.
 func (ctl *Controller) Update(now time.Time, p Policy) (evict []*Conn) {
 	old := ctl.groups
 	ctl.policy = p
@@ -15,21 +15,21 @@
 	ctl.reserved = 0
 	ctl.reducedCapacity = p.Capacity
 	for _, g := range p.Groups {
-		is := &group{Group: g}
+		created := &group{Group: g}
 		for _, o := range old {
 			if o.Name == g.Name {
-				is.counts = o.counts
+				created.counts = o.counts
 			}
 		}
-		ctl.groups = append(ctl.groups, is)
+		ctl.groups = append(ctl.groups, created)
 		ctl.reserved += g.Reserve
 	}
 	all := ctl.connsByAge()
 	all = slices.DeleteFunc(all, func(c *Conn) bool { return c.source == nil && c.waitingSource == nil })
 	for _, c := range all {
-		ctl.vacate(now, c)
+		ctl.releaseSlot(now, c)
 	}
-	for _, s := range ctl.sources { // they have no connections now
+	for _, s := range ctl.sources { // no source holds a connection at this point
 		i := slices.IndexFunc(ctl.groups, func(g *group) bool { return g.Name == s.key.group })
 		if i < 0 || ctl.groups[i].Rate <= 0 { // without a rate limiter
 			ctl.removeUnused(s)
@@ -44,7 +44,7 @@
 			ctl.pushWaiting(c, ctl.source(c.addr, g))
 			continue
 		}
-		ctl.occupy(c, g)
+		ctl.acquireSlot(c, g)
 		ctl.link(c)
 	}
 	evict = ctl.trim(now)
