--- a/internal/sites/peering/codec.go
+++ b/internal/sites/peering/codec.go
@@ -19,8 +19,8 @@
 	maxTextBytes       = 256       // names, keys
 	maxTargetBytes     = 16 << 10
 	maxHeaders         = 200
-	maxSites           = 32   // that a request has visited
-	maxSettledAtOnce   = 1024 // numbers
+	maxVisitedSites           = 32   // that a request has visited
+	maxSettleNumbers   = 1024 // numbers
 	maxRoundTripMicros = 60e6
 	maxEffect          = 2 // the highest lbpolicy.Effect
 	minStatus          = 200
@@ -94,7 +94,7 @@
 		r.AttemptsLeft >= 0 &&
 		r.Effect <= maxEffect &&
 		!anyTooLong(r.Class, r.Tenant, r.Key, r.Method) &&
-		len(r.VisitedSites) > 0 && len(r.VisitedSites) <= maxSites && !anyTooLong(r.VisitedSites...) &&
+		len(r.VisitedSites) > 0 && len(r.VisitedSites) <= maxVisitedSites && !anyTooLong(r.VisitedSites...) &&
 		r.Method != "" &&
 		len(r.Host) <= maxTargetBytes &&
 		r.Target != "" && r.Target[0] == '/' && len(r.Target) <= maxTargetBytes &&
@@ -123,7 +123,7 @@
 }
 
 func (s *settleRequest) validate() error {
-	if len(s.Numbers) > maxSettledAtOnce {
+	if len(s.Numbers) > maxSettleNumbers {
 		return errors.New("link: too many numbers to settle")
 	}
 	return nil
--- a/internal/sites/peering/connection.go
+++ b/internal/sites/peering/connection.go
@@ -158,7 +158,7 @@
 		}
 	}()
 	switch {
-	case admitted.full:
+	case admitted.overLimit:
 		return &Response{Outcome: accounting.Rejected, RetryAfter: overloadRetryAfter.Microseconds(),
 			Detail: "too many requests in flight on one connection"}
 	case slices.Contains(r.VisitedSites, t.options.Site):
--- a/internal/sites/peering/disconnect_test.go
+++ b/internal/sites/peering/disconnect_test.go
@@ -30,8 +30,8 @@
 			t.Errorf("answered %+v", x.Response)
 		}
 		awaitReconciled(t, from)
-		if asked.Load() == 0 || far.came.Load() > 0 {
-			t.Errorf("asked %d times, %d came", asked.Load(), far.came.Load())
+		if asked.Load() == 0 || far.requestCount.Load() > 0 {
+			t.Errorf("asked %d times, %d came", asked.Load(), far.requestCount.Load())
 		}
 		c = newRequest(size)
 		c.IsDisconnected = func() bool { return false }
@@ -85,7 +85,7 @@
 			path.Block(fake.ToServer, false)
 			lbtest.Until(t, "site b is connected", func() bool { return isConnected(from, "b") })
 			awaitReconciled(t, from) // the request is not served any more
-			if far.came.Load() > 0 && len(ended) == 0 {
+			if far.requestCount.Load() > 0 && len(ended) == 0 {
 				t.Error("it is still served")
 			}
 		})
--- a/internal/sites/peering/inbound.go
+++ b/internal/sites/peering/inbound.go
@@ -135,7 +135,7 @@
 // admission is what admit decides on a request.
 type admission struct {
 	timeLeft time.Duration // what is left of the request's time here
-	full     bool          // as many requests in flight as the session may have; it was counted nevertheless
+	overLimit     bool          // as many requests in flight as the session may have; it was counted nevertheless
 }
 
 // admit counts a request that has arrived. After an error it must not run.
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.receiver.Resolve(number, outcome)
-	if !admitted.full {
+	if !admitted.overLimit {
 		s.inFlight--
 	}
 }
--- a/internal/sites/peering/server.go
+++ b/internal/sites/peering/server.go
@@ -24,11 +24,11 @@
 	connectionWindowBytes = 512 << 10
 
 	idleTimeout       = 2 * time.Second
-	sessionIdle       = time.Minute // of a connection without any stream
+	sessionIdleTimeout       = time.Minute // of a connection without any stream
 	acceptBackoff     = 20 * time.Millisecond
 	drainPollInterval = 10 * time.Millisecond
 	maxFrameBytes     = 64 << 10
-	maxHTTPHeadBytes  = 16 << 10
+	maxHTTPHeaderBytes  = 16 << 10
 	controlStreams    = 16 // beside the requests of a connection: heartbeats and the like
 )
 
@@ -63,11 +63,11 @@
 			MaxUploadBufferPerConnection: connectionWindowBytes,
 			ReadIdleTimeout:              idleTimeout,
 			PingTimeout:                  idleTimeout,
-			IdleTimeout:                  sessionIdle,
+			IdleTimeout:                  sessionIdleTimeout,
 			WriteByteTimeout:             idleTimeout,
 		},
 		httpServer: &http.Server{
-			MaxHeaderBytes: maxHTTPHeadBytes,
+			MaxHeaderBytes: maxHTTPHeaderBytes,
 			ErrorLog:       slog.NewLogLogger(t.log.Handler(), slog.LevelDebug),
 		},
 	}
--- a/internal/sites/peering/session.go
+++ b/internal/sites/peering/session.go
@@ -201,7 +201,7 @@
 	var response heartbeat
 	err := s.request(ctx, pathState, message, &response)
 	switch {
-	case errors.Is(err, context.DeadlineExceeded) && s.isSilent():
+	case errors.Is(err, context.DeadlineExceeded) && s.isUnresponsive():
 		return errHeartbeatTimeout
 	case errors.Is(err, context.DeadlineExceeded):
 		return nil
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// isSilent reports whether the other end has answered nothing at all for the heartbeat timeout.
-func (s *session) isSilent() bool {
+// isUnresponsive reports whether the other end has answered nothing at all for the heartbeat timeout.
+func (s *session) isUnresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.lastResponse) >= s.gateway.transport.options.HeartbeatTimeout
--- a/internal/sites/peering/settle.go
+++ b/internal/sites/peering/settle.go
@@ -31,7 +31,7 @@
 // may be known by now.
 func (s *session) settleSession(other *session) (more bool, err error) {
 	other.mu.Lock()
-	numbers := other.sender.Unsettled(maxSettledAtOnce)
+	numbers := other.sender.Unsettled(maxSettleNumbers)
 	ended := other.ended
 	other.mu.Unlock()
 	if len(numbers) == 0 {
@@ -47,7 +47,7 @@
 		}
 	}
 	progress := other.resolve(numbers, response)
-	return progress && len(numbers) == maxSettledAtOnce, nil
+	return progress && len(numbers) == maxSettleNumbers, nil
 }
 
 // resolve records the outcomes of some numbers, and reports whether one of them is known now. Without a known session the
--- a/internal/sites/peering/transport_test.go
+++ b/internal/sites/peering/transport_test.go
@@ -32,17 +32,17 @@
 
 // fakeHandler is a site whose responses the test decides.
 type fakeHandler struct {
-	cross func(ctx context.Context, c *Request) *Response
+	respond func(ctx context.Context, c *Request) *Response
 	state atomic.Int32
-	came  atomic.Int64
+	requestCount  atomic.Int64
 }
 
 func (s *fakeHandler) ServeRequest(ctx context.Context, from string, c *Request) *Response {
-	s.came.Add(1)
-	if s.cross == nil {
+	s.requestCount.Add(1)
+	if s.respond == nil {
 		return &Response{Outcome: accounting.Served, Status: 200, Body: c.Body}
 	}
-	return s.cross(ctx, c)
+	return s.respond(ctx, c)
 }
 func (s *fakeHandler) State() forwarding.State { return forwarding.State(s.state.Load()) }
 func (s *fakeHandler) Lookup(id idempotency.KeyID) KeyLocation {
@@ -50,12 +50,12 @@
 }
 
 func newFakeHandler(cross func(context.Context, *Request) *Response) *fakeHandler {
-	s := &fakeHandler{cross: cross}
+	s := &fakeHandler{respond: cross}
 	s.state.Store(int32(forwarding.Available))
 	return s
 }
 
-func start(t testing.TB, site string, s Handler, id *Identity, log io.Writer, peers ...Peer) *Transport {
+func startTransport(t testing.TB, site string, s Handler, id *Identity, log io.Writer, peers ...Peer) *Transport {
 	t.Helper()
 	l, err := Start(Options{Site: site, Listen: "127.0.0.1:0", Identity: id, Peers: peers, HeartbeatInterval: 20 * time.Millisecond, HeartbeatTimeout: 200 * time.Millisecond,
 		MaxInFlight: 64, PriorityWeights: []float64{1, 10}, Handler: s, Logger: slog.New(slog.NewTextHandler(log, nil))})
@@ -69,13 +69,13 @@
 // connectTwoSites connects site a to site b over a path.
 func connectTwoSites(t testing.TB, b Handler) (from *Transport, path *fake.Path, to *Transport) {
 	t.Helper()
-	to = start(t, "b", b, nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
+	to = startTransport(t, "b", b, nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
 	path, err := fake.NewPath(to.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(path.Close)
-	from = start(t, "a", newFakeHandler(nil), nil, io.Discard, Peer{"b", []string{path.Addr}})
+	from = startTransport(t, "a", newFakeHandler(nil), nil, io.Discard, Peer{"b", []string{path.Addr}})
 	awaitConnected(t, from)
 	return from, path, to
 }
@@ -140,7 +140,7 @@
 		return files(file)
 	}
 	var log lbtest.Log
-	b := start(t, "b", newFakeHandler(nil), issue(good, "b", "b", hour), &log, Peer{"a", []string{"127.0.0.1:1"}}, Peer{"c", []string{"127.0.0.1:1"}})
+	b := startTransport(t, "b", newFakeHandler(nil), issue(good, "b", "b", hour), &log, Peer{"a", []string{"127.0.0.1:1"}}, Peer{"c", []string{"127.0.0.1:1"}})
 	for name, c := range map[string]struct {
 		id   *Identity
 		site string // that it greets as
@@ -154,7 +154,7 @@
 		"other server name": {issue(good, "x5", "a", hour), "a", "c", "not c"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := start(t, c.site, newFakeHandler(nil), c.id, &log, Peer{c.to, []string{b.Addr()}})
+			l := startTransport(t, c.site, newFakeHandler(nil), c.id, &log, Peer{c.to, []string{b.Addr()}})
 			lbtest.Until(t, "the reason is reported", func() bool {
 				return log.Contains(c.says) || strings.Contains(l.Status(t.Context(), false)[0].LastError, c.says)
 			})
@@ -166,7 +166,7 @@
 			}
 		})
 	}
-	a := start(t, "a", newFakeHandler(nil), issue(good, "a", "a", hour), &log, Peer{"b", []string{b.Addr()}})
+	a := startTransport(t, "a", newFakeHandler(nil), issue(good, "a", "a", hour), &log, Peer{"b", []string{b.Addr()}})
 	awaitConnected(t, a)
 	// b's certificate becomes one that nobody can use, then one of a new authority that a knows by then.
 	if err := os.WriteFile(files("b").Certificate, []byte("torn"), 0o600); err != nil {
@@ -229,7 +229,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
 			defer cancel()
-			got, came := a.Settle(ctx, x), b.came.Load()
+			got, came := a.Settle(ctx, x), b.requestCount.Load()
 			if want := map[bool]accounting.Outcome{true: accounting.NeverArrived, false: accounting.Served}[came == 1]; got != want {
 				t.Errorf("settled as %v with %d calls come", got, came)
 			}
@@ -237,7 +237,7 @@
 				t.Errorf("settled again as %v", again)
 			}
 			awaitReconciled(t, a)
-			if b.came.Load() != came {
+			if b.requestCount.Load() != came {
 				t.Error("it arrived after it was reported as never arrived")
 			}
 		})
@@ -296,8 +296,8 @@
 	a, path, old := connectTwoSites(t, b)
 	out := make(chan ForwardResult, 1)
 	go func() { out <- forwardTo(a, "b", 1) }()
-	lbtest.Until(t, "the request is in flight", func() bool { return b.came.Load() == 1 })
-	fresh := start(t, "b", newFakeHandler(nil), nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
+	lbtest.Until(t, "the request is in flight", func() bool { return b.requestCount.Load() == 1 })
+	fresh := startTransport(t, "b", newFakeHandler(nil), nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
 	path.SetTarget(fresh.Addr())
 	old.Close()
 	x := <-out
@@ -324,7 +324,7 @@
 	for range cap(out) {
 		go func() { out <- forwardTo(a, "b", 1) }()
 	}
-	lbtest.Until(t, "all are in flight", func() bool { return b.came.Load() == int64(cap(out)) })
+	lbtest.Until(t, "all are in flight", func() bool { return b.requestCount.Load() == int64(cap(out)) })
 	done := make(chan struct{})
 	go func() { to.Drain(time.Now().Add(lbtest.Wait)); close(done) }()
 	lbtest.Until(t, "the connection is retired", func() bool { return !isConnected(a, "b") })
@@ -366,8 +366,8 @@
 	net.Conn
 	*http2.Framer
 	t   testing.TB
-	enc *hpack.Encoder
-	buf bytes.Buffer
+	encoder *hpack.Encoder
+	headerBlock bytes.Buffer
 }
 
 func newRawClient(t testing.TB, addr string) *rawClient {
@@ -380,17 +380,17 @@
 	c.SetDeadline(time.Now().Add(lbtest.Wait))
 	io.WriteString(c, http2.ClientPreface)
 	r := &rawClient{Conn: c, Framer: http2.NewFramer(c, c), t: t}
-	r.enc = hpack.NewEncoder(&r.buf)
+	r.encoder = hpack.NewEncoder(&r.headerBlock)
 	r.WriteSettings()
 	return r
 }
 
-func (r *rawClient) head(stream uint32, path string) {
-	r.buf.Reset()
+func (r *rawClient) writeRequestHeaders(stream uint32, path string) {
+	r.headerBlock.Reset()
 	for _, f := range [][2]string{{":method", "POST"}, {":scheme", "https"}, {":authority", "b"}, {":path", path}} {
-		r.enc.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
+		r.encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
 	}
-	r.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: r.buf.Bytes(), EndHeaders: true})
+	r.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: r.headerBlock.Bytes(), EndHeaders: true})
 }
 
 // readStream reads until the connection or a stream ends, and returns the data that came.
@@ -420,7 +420,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.head(1, pathHello)
+		r.writeRequestHeaders(1, pathHello)
 		r.WriteData(1, true, text)
 		got := r.readStream()
 		return got
@@ -438,47 +438,47 @@
 			t.Fatalf("%v %+v", err, w)
 		}
 		text, _ := encode(map[string]any{"n": 1, "l": int64(1e6), "k": "c", "b": []string{"a"}, "q": "POST", "g": "/", "h": "x", "r": 99, "later": []int{1}})
-		r.head(3, pathCall)
+		r.writeRequestHeaders(3, pathCall)
 		r.WriteData(3, true, text)
 		got = r.readStream()
 		var a Response
 		if err := decode(strings.NewReader(got), &a); err != nil || a.Outcome != accounting.Served {
 			t.Errorf("%v %+v", err, a)
 		}
-		before := b.came.Load()
-		r.head(5, pathCall) // the same number again
+		before := b.requestCount.Load()
+		r.writeRequestHeaders(5, pathCall) // the same number again
 		r.WriteData(5, true, text)
-		if r.readStream(); b.came.Load() != before {
+		if r.readStream(); b.requestCount.Load() != before {
 			t.Error("one number ran twice")
 		}
 	})
 	t.Run("not greeted", func(t *testing.T) {
 		r := newRawClient(t, to.Addr())
-		before := b.came.Load()
+		before := b.requestCount.Load()
 		text, _ := encode(newRequest(1))
-		r.head(1, pathCall)
+		r.writeRequestHeaders(1, pathCall)
 		r.WriteData(1, true, text)
-		if got := r.readStream(); !strings.Contains(got, "not greeted") || b.came.Load() != before {
+		if got := r.readStream(); !strings.Contains(got, "not greeted") || b.requestCount.Load() != before {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("garbage", func(t *testing.T) {
 		r := newRawClient(t, to.Addr())
-		r.head(1, pathHello)
+		r.writeRequestHeaders(1, pathHello)
 		r.WriteData(1, true, []byte("\xff\xff\xff\xff\x00garbage"))
 		if got := r.readStream(); !strings.Contains(got, "link:") {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("more data than the window", func(t *testing.T) {
-		r, before := newRawClient(t, to.Addr()), b.came.Load()
-		r.head(1, pathCall)
+		r, before := newRawClient(t, to.Addr()), b.requestCount.Load()
+		r.writeRequestHeaders(1, pathCall)
 		for range 400 {
 			if r.WriteData(1, false, make([]byte, 16<<10)) != nil {
 				break
 			}
 		}
-		if text := r.readStream(); strings.Contains(text, "served") || b.came.Load() != before {
+		if text := r.readStream(); strings.Contains(text, "served") || b.requestCount.Load() != before {
 			t.Errorf("accepted: %q", text)
 		}
 	})
@@ -515,7 +515,7 @@
 					go serveInvalidResponses(c, &calls, answer)
 				}
 			}()
-			a := start(t, "a", newFakeHandler(nil), nil, io.Discard, Peer{"b", []string{l.Addr().String()}})
+			a := startTransport(t, "a", newFakeHandler(nil), nil, io.Discard, Peer{"b", []string{l.Addr().String()}})
 			awaitConnected(t, a)
 			soon, cancel := context.WithTimeout(t.Context(), time.Second) // an answer to nothing is passed over
 			x := a.Forward(soon, "b", newRequest(1))
