--- a/internal/sites/peering/codec.go
+++ b/internal/sites/peering/codec.go
@@ -13,16 +13,16 @@
 	"silvertrail/internal/sites/forwarding"
 )
 
-// Bounds of what a peer may send.
+// Limits on the messages that a peer may send.
 const (
-	maxMessageBytes    = 256 << 10 // a message with its body
-	maxTextBytes       = 256       // names, keys
-	maxTargetBytes     = 16 << 10
-	maxHeaders         = 200
-	maxVisitedSites           = 32   // that a request has visited
-	maxSettleNumbers   = 1024 // numbers
-	maxRoundTripMicros = 60e6
-	maxEffect          = 2 // the highest lbpolicy.Effect
+	maxMessageBytes    = 256 << 10 // of an encoded message, including its body
+	maxTextBytes       = 256       // of a name, an idempotency key or an HTTP method
+	maxTargetBytes     = 16 << 10  // of a request target, and of a Host header
+	maxHeaders         = 200       // header names of one message
+	maxVisitedSites    = 32        // sites that a request has visited
+	maxSettleNumbers   = 1024      // request numbers in one settleRequest
+	maxRoundTripMicros = 60e6      // 1 minute; longer values in a heartbeat are reduced to it
+	maxEffect          = 2         // the highest value of lbpolicy.Effect
 	minStatus          = 200
 	maxStatus          = 599
 )
@@ -35,31 +35,32 @@
 	return h
 }
 
-// encode returns the bytes of a message.
+// encode returns a message in MessagePack.
 func encode(message any) ([]byte, error) {
 	var out []byte
 	err := codec.NewEncoderBytes(&out, msgpackHandle).Encode(message)
 	return out, err
 }
 
-// validator is a message that is checked before it is used. It may replace values that only later versions know.
+// validator is implemented by messages that are checked after decoding. validate may replace enum values that only later
+// protocol versions define.
 type validator interface{ validate() error }
 
-// decode reads a message of at most maxMessageBytes and validates it.
+// decode reads a MessagePack message of at most maxMessageBytes, and validates it if it is a validator.
 func decode(from io.Reader, into any) (err error) {
 	defer func() {
-		if fault := recover(); fault != nil { // the codec panics on some malformed input
-			err = fmt.Errorf("link: unreadable: %v", fault)
+		if panicValue := recover(); panicValue != nil { // the codec panics on some malformed input
+			err = fmt.Errorf("link: unreadable: %v", panicValue)
 		}
 	}()
-	text, err := io.ReadAll(io.LimitReader(from, maxMessageBytes+1))
+	payload, err := io.ReadAll(io.LimitReader(from, maxMessageBytes+1))
 	switch {
 	case err != nil:
 		return err
-	case len(text) > maxMessageBytes:
+	case len(payload) > maxMessageBytes:
 		return fmt.Errorf("link: a message over %d bytes", maxMessageBytes)
 	}
-	if err := codec.NewDecoderBytes(text, msgpackHandle).Decode(into); err != nil {
+	if err := codec.NewDecoderBytes(payload, msgpackHandle).Decode(into); err != nil {
 		return fmt.Errorf("link: unreadable: %w", err)
 	}
 	if message, ok := into.(validator); ok {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// anyTooLong reports whether a text is over maxTextBytes.
+// anyTooLong reports whether any of the texts is longer than maxTextBytes.
 func anyTooLong(texts ...string) bool {
 	return slices.ContainsFunc(texts, func(s string) bool { return len(s) > maxTextBytes })
 }
@@ -81,7 +82,7 @@
 }
 
 func (h *heartbeat) validate() error { //nolint:unparam // implements validator
-	if h.State > forwarding.Available { // only a later version knows it
+	if h.State > forwarding.Available { // a state that only later versions define
 		h.State = forwarding.Unavailable
 	}
 	h.RoundTrip = min(max(h.RoundTrip, 0), maxRoundTripMicros)
@@ -102,7 +103,7 @@
 	if !valid {
 		return errors.New("link: invalid request")
 	}
-	if !r.Reason.IsValid() { // only a later version knows it
+	if !r.Reason.IsValid() { // a reason that only later versions define
 		r.Reason = accounting.Transit
 	}
 	return nil
@@ -136,7 +137,8 @@
 	return nil
 }
 
-// isWritableHeader reports whether a header can be written on an HTTP/1.1 connection as it is.
+// isWritableHeader reports whether a header can be written to an HTTP/1.1 connection unchanged: it has at most maxHeaders
+// canonical names, and its values have no control bytes other than tabs.
 func isWritableHeader(h http.Header) bool {
 	if len(h) > maxHeaders {
 		return false
@@ -149,7 +151,7 @@
 	return true
 }
 
-// isHeaderName reports whether a name is canonical, not empty and of visible ASCII without colons.
+// isHeaderName reports whether a name is canonical, not empty, and made of visible ASCII characters other than colons.
 func isHeaderName(name string) bool {
 	if name == "" || name != http.CanonicalHeaderKey(name) {
 		return false
@@ -157,7 +159,7 @@
 	return !slices.ContainsFunc([]byte(name), func(c byte) bool { return c <= ' ' || c >= 0x7f || c == ':' })
 }
 
-// hasControlByte reports whether a value holds a control byte other than a tab.
+// hasControlByte reports whether a value contains a control byte other than a tab.
 func hasControlByte(value string) bool {
 	return slices.ContainsFunc([]byte(value), func(c byte) bool { return c < ' ' && c != '\t' || c == 0x7f })
 }
--- a/internal/sites/peering/connection.go
+++ b/internal/sites/peering/connection.go
@@ -14,24 +14,25 @@
 )
 
 const (
+	// overloadRetryAfter is the retry delay sent with a request rejected for the limit on requests in flight.
 	overloadRetryAfter = 100 * time.Millisecond
-	// settleWait is how long a request that is in flight when its session has ended may take to end before it is reported
-	// as pending.
+	// settleWait is how long settle waits for requests that are still in flight. After it they are reported as pending.
 	settleWait         = 20 * time.Millisecond
-	settlePollInterval = time.Millisecond
+	settlePollInterval = time.Millisecond // between two looks at the outcomes within settleWait
 )
 
-// connection serves the messages of one accepted connection. It implements http.Handler.
+// connection is an http.Handler that serves the messages of one accepted connection.
 type connection struct {
 	server *server
 
 	mu      sync.Mutex
-	site    string // empty: not known yet
-	session *inboundSession
+	site    string          // empty until the certificate or the greeting names the site
+	session *inboundSession // nil before the greeting
 	closed  bool
 }
 
-// close records that the connection is over: what its handlers still hold, requests or a greeting, is rejected.
+// close marks the connection as closed and disconnects its session. Requests and greetings that its handlers have not
+// admitted yet are rejected from then on.
 func (c *connection) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,15 +55,16 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	text, err := encode(response)
+	payload, err := encode(response)
 	if err != nil {
 		http.Error(w, "unwritable", http.StatusInternalServerError)
 		return
 	}
-	w.Write(text)
+	w.Write(payload)
 }
 
-// dispatch decodes a message by its path and returns the response to it.
+// dispatch decodes a message according to the request path and returns the response. An error becomes the body of a
+// response with status 400.
 func (c *connection) dispatch(r *http.Request) (any, error) {
 	if r.Method != http.MethodPost {
 		return nil, errors.New("link: not a gateway's request")
@@ -100,7 +102,8 @@
 	return handler(message)
 }
 
-// greet opens the connection's session. A greeting that is rejected is answered with the reason.
+// greet opens the connection's session, of which a connection has only one. The response to a rejected greeting states
+// the reason.
 func (c *connection) greet(request *helloRequest) (any, error) {
 	t := c.server.transport
 	c.mu.Lock()
@@ -126,18 +129,18 @@
 	return &helloResponse{Version: version, ProcessID: t.processID}, nil
 }
 
-// answerHeartbeat records a heartbeat and answers with this site's state.
+// answerHeartbeat records a heartbeat and returns this site's state as the response.
 func (c *connection) answerHeartbeat(s *inboundSession, message *heartbeat) *heartbeat {
 	s.applyHeartbeat(message)
 	t := c.server.transport
 	return &heartbeat{Clock: t.clock(), State: t.options.Handler.State()}
 }
 
-// serveRequest serves a request in the time that is left of it here.
+// serveRequest counts a request, serves it unless it is rejected, and records its outcome.
 func (c *connection) serveRequest(ctx context.Context, s *inboundSession, r *Request) *Response {
 	admitted, err := s.admit(r)
 	switch {
-	case errors.Is(err, accounting.ErrFull): // not counted, and not remembered
+	case errors.Is(err, accounting.ErrFull): // not counted, and no outcome is recorded
 		return &Response{Number: r.Number, Outcome: accounting.NeverRan, Detail: err.Error()}
 	case err != nil:
 		return &Response{Number: r.Number, Outcome: accounting.MayHaveRun, Detail: err.Error()}
@@ -148,7 +151,8 @@
 	return response
 }
 
-// serveAdmitted passes a request on to the Handler unless it is rejected. After a panic it may have run.
+// serveAdmitted passes a counted request to the Handler, unless the session is over its limit, the request has visited
+// this site before or its time has expired. If the Handler panics, the outcome is that the request may have run.
 func (c *connection) serveAdmitted(ctx context.Context, s *inboundSession, r *Request, admitted admission) (response *Response) {
 	t := c.server.transport
 	defer func() {
@@ -170,18 +174,19 @@
 	return t.options.Handler.ServeRequest(ctx, s.site, r)
 }
 
-// settle reports the outcomes of a session's requests. It waits a moment for those that are in flight.
+// settle returns the outcomes of the requests of a session, which need not be that of this connection. It waits up to
+// settleWait for requests in flight.
 func (c *connection) settle(s *inboundSession, request *settleRequest) *settleResponse {
-	asked := c.server.findSession(s.site, request.SessionID)
-	if asked == nil {
+	target := c.server.findSession(s.site, request.SessionID)
+	if target == nil {
 		return &settleResponse{}
 	}
 	if request.SessionEnded {
-		asked.closeReceiver()
+		target.closeReceiver()
 	}
 	deadline := time.Now().Add(settleWait)
 	for {
-		outcomes, pending := asked.outcomesOf(request.Numbers)
+		outcomes, pending := target.outcomesOf(request.Numbers)
 		if !pending || time.Now().After(deadline) {
 			return &settleResponse{Known: true, Outcomes: outcomes}
 		}
@@ -189,13 +194,14 @@
 	}
 }
 
-// lookup returns what is known here of a key.
+// lookup returns what this site knows about an idempotency key.
 func (c *connection) lookup(request *lookupRequest) *KeyLocation {
 	location := c.server.transport.options.Handler.Lookup(request.ID)
 	return &location
 }
 
-// counters returns the counters of sessions of the same site, as far as they are kept.
+// counters returns the counters of the requested sessions. Sessions of other sites, and sessions that are no longer kept,
+// are left out.
 func (c *connection) counters(s *inboundSession, request *countersRequest) *countersResponse {
 	response := &countersResponse{Counters: map[uint64][]accounting.Counter{}}
 	for _, id := range request.Sessions {
--- a/internal/sites/peering/credentials.go
+++ b/internal/sites/peering/credentials.go
@@ -9,22 +9,22 @@
 	"silvertrail/internal/edge/certs"
 )
 
-// Identity names the files that prove a gateway's site: a certificate whose DNS name is the site's, its key, and the
-// authority that signs the certificates of all sites.
+// Identity names the files that authenticate a gateway: a certificate whose DNS name is the gateway's site, the private
+// key, and the certificate authority that signs the certificates of all sites.
 type Identity = certs.Files
 
-// credentials are the current contents of an Identity's files. Files that are replaced are read for the next connection.
+// credentials hold the current contents of the files of an Identity. Replaced files apply to new connections.
 type credentials struct{ *certs.Reloader }
 
 func newCredentials(files Identity, log *slog.Logger) (*credentials, error) {
-	proof, err := certs.Open(files, log)
+	reloader, err := certs.Open(files, log)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	return &credentials{proof}, nil
+	return &credentials{reloader}, nil
 }
 
-// clientConfig returns the settings of a connection to a site.
+// clientConfig returns the TLS configuration for a connection to a site.
 func (c *credentials) clientConfig(site string) *tls.Config {
 	pair, roots, _ := c.Current()
 	return &tls.Config{
@@ -32,12 +32,13 @@
 		ServerName: site,
 		RootCAs:    roots,
 		NextProtos: []string{"h2"},
-		// The certificate is sent even if the other end names other authorities, so that its log says what is wrong.
+		// The certificate is sent even if the server does not name its authority as acceptable. The server then rejects
+		// it and logs the reason.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil },
 	}
 }
 
-// serverConfig returns the settings of a connection that is accepted.
+// serverConfig returns the TLS configuration for an accepted connection. It requires a client certificate.
 func (c *credentials) serverConfig() *tls.Config {
 	pair, roots, _ := c.Current()
 	return &tls.Config{
@@ -49,11 +50,11 @@
 	}
 }
 
-// peerSite returns the configured site that a connection's client certificate names.
+// peerSite returns the first DNS name of the client certificate that is a configured site.
 func peerSite(conn *tls.Conn, isPeer func(string) bool) (string, error) {
 	chain := conn.ConnectionState().PeerCertificates
 	if len(chain) == 0 {
-		return "", errors.New("link: no certificate")
+		return "", errors.New("link: the client sent no certificate")
 	}
 	for _, name := range chain[0].DNSNames {
 		if isPeer(name) {
--- a/internal/sites/peering/gateway.go
+++ b/internal/sites/peering/gateway.go
@@ -13,25 +13,25 @@
 	"silvertrail/internal/sites/forwarding"
 )
 
-// drainTimeout bounds how long a session that the other end drains may go on.
+// drainTimeout is how long requests in flight may still be answered on a session that the remote gateway drains.
 const drainTimeout = time.Minute
 
-// gateway is one gateway of another site: the sessions in use, and earlier ones that may not be settled.
+// gateway is one remote gateway, with the sessions in use and earlier sessions whose requests may not be settled.
 type gateway struct {
 	transport    *Transport
 	site         string
 	address      string
 	ctx          context.Context
 	cancel       context.CancelFunc
-	availability forwarding.Gateway // guarded by the transport's lock
+	availability forwarding.Gateway // guarded by Transport.mu
 
 	mu              sync.Mutex
 	sessions        []*session
-	endedSessions   []*session           // the newest last, at most maxSessions
-	retiredCounters []accounting.Counter // of sessions that are not kept any more
-	sessionCount    int
-	since           time.Time
-	lastError       string
+	endedSessions   []*session           // oldest first, at most maxSessions
+	retiredCounters []accounting.Counter // of sessions that are no longer kept
+	sessionCount    int                  // sessions opened so far
+	since           time.Time            // when the first session came into use, or the last one went out of use
+	lastError       string               // of the last session or connect that failed; empty after a successful connect
 }
 
 func newGateway(t *Transport, site, address string) *gateway {
@@ -40,8 +40,8 @@
 	return g
 }
 
-// run keeps the configured number of sessions until the gateway is cancelled. With several, a packet lost on one
-// connection does not hold up all requests.
+// run maintains the configured number of sessions until the gateway is cancelled. With several sessions, a lost packet
+// delays only the requests on its own connection.
 func (g *gateway) run() {
 	defer g.cancel()
 	var sessions sync.WaitGroup
@@ -51,7 +51,7 @@
 	sessions.Wait()
 }
 
-// maintainSession keeps one session, and connects again with backoff.
+// maintainSession keeps one session connected. After a failure it reconnects with exponential backoff and jitter.
 func (g *gateway) maintainSession() {
 	backoff := minBackoff
 	for g.ctx.Err() == nil {
@@ -65,7 +65,7 @@
 			break
 		}
 		g.recordError(err, s != nil)
-		if s != nil { // it was up: what has broken it does not keep the next one from coming up
+		if s != nil { // the connect succeeded, so the reason that ended the session does not call for a longer backoff
 			backoff = minBackoff
 		}
 		select {
@@ -76,7 +76,8 @@
 	}
 }
 
-// recordError records and logs why there is no session. While connecting fails for the same reason it is logged once.
+// recordError records and logs why a session ended or could not be opened. Repeated connect failures with the same error
+// are logged once.
 func (g *gateway) recordError(err error, wasUp bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,7 +87,7 @@
 	g.lastError = err.Error()
 }
 
-// add takes a session into use.
+// add puts a session into use.
 func (g *gateway) add(s *session) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,7 +99,7 @@
 	g.sessionCount++
 }
 
-// pickSession returns the session in use with the fewest requests in flight, or nil.
+// pickSession returns the session in use with the fewest requests in flight, or nil if no session can take a request.
 func (g *gateway) pickSession() *session {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,7 +107,7 @@
 	fewest := 0
 	for _, s := range g.sessions {
 		if !s.client.CanTakeNewRequest() {
-			s.wake() // it has broken, and its heartbeat has not noticed yet
+			s.wake() // the connection may be broken: run checks it without waiting for the next heartbeat
 			continue
 		}
 		if inFlight := s.inFlight(); best == nil || inFlight < fewest {
@@ -116,8 +117,9 @@
 	return best
 }
 
-// retire takes a session out of use. Requests in flight on it are settled over the next session: all of them at once, as
-// the connection is closed. If the other end only asks for a new connection, they are still answered.
+// retire takes a session out of use. Normally it closes the connection, so that all requests in flight are settled over
+// the next session at once. If the remote gateway is draining, the connection stays open for up to drainTimeout so that
+// requests in flight are still answered.
 func (g *gateway) retire(s *session) {
 	g.mu.Lock()
 	g.sessions = slices.DeleteFunc(g.sessions, func(other *session) bool { return other == s })
@@ -140,32 +142,32 @@
 	g.transport.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(g.ctx, drainTimeout)
 		defer cancel()
-		_ = s.client.Shutdown(ctx) // what is not answered in time is settled
+		_ = s.client.Shutdown(ctx) // requests not answered within drainTimeout are settled
 		s.end()
 	})
 }
 
-// forward sends a request over a session in use.
+// forward sends a request over the least loaded session. Without a session or a free stream it sends nothing.
 func (g *gateway) forward(ctx context.Context, r *Request) ForwardResult {
 	s := g.pickSession()
-	if s == nil || !s.client.ReserveNewRequest() { // no session, or as many requests in flight as the other end allows
+	if s == nil || !s.client.ReserveNewRequest() { // no session, or at the remote gateway's limit on streams
 		return ForwardResult{Outcome: accounting.NeverRan}
 	}
 	return s.forward(ctx, r)
 }
 
-// lookup asks the gateway what it knows of a key.
+// lookup asks the remote gateway what it knows about an idempotency key.
 func (g *gateway) lookup(ctx context.Context, id idempotency.KeyID) (KeyLocation, error) {
 	s := g.pickSession()
 	if s == nil {
-		return KeyLocation{}, fmt.Errorf("link: %s at %s is out of reach", g.site, g.address)
+		return KeyLocation{}, fmt.Errorf("link: no session to site %s at %s for the key lookup", g.site, g.address)
 	}
 	var location KeyLocation
 	err := s.request(ctx, pathLookup, &lookupRequest{ID: id}, &location)
 	return location, err
 }
 
-// inFlight returns the number of requests forwarded to the gateway and not answered.
+// inFlight returns the number of requests without a known outcome on the sessions in use.
 func (g *gateway) inFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,19 +178,19 @@
 	return n
 }
 
-// allSessions returns the sessions that are kept, ended ones first.
+// allSessions returns all sessions that are kept, ended sessions first.
 func (g *gateway) allSessions() []*session {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.allSessionsLocked()
 }
 
-// allSessionsLocked is allSessions for a caller that holds the lock.
+// allSessionsLocked is allSessions for callers that hold g.mu.
 func (g *gateway) allSessionsLocked() []*session {
 	return append(slices.Clone(g.endedSessions), g.sessions...)
 }
 
-// status returns the gateway's status without its state, and the counters of what was sent to it.
+// status returns the gateway's status, in which State is not set, and the counters of the requests sent to it.
 func (g *gateway) status() (GatewayStatus, []accounting.Counter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -201,12 +203,13 @@
 	return status, sent
 }
 
-// reconcile asks the other end for its counters of the sessions that are kept, and returns those that differ.
-func (g *gateway) reconcile(ctx context.Context) (out []SessionDifference, compared int, err error) {
+// reconcile compares the counters of all kept sessions with those of the remote gateway. It returns the differences and
+// the number of sessions compared.
+func (g *gateway) reconcile(ctx context.Context) (differences []SessionDifference, compared int, err error) {
 	sessions := g.allSessions()
 	current := g.pickSession()
 	if current == nil {
-		return nil, 0, fmt.Errorf("link: %s is out of reach: nothing could be compared", g.site)
+		return nil, 0, fmt.Errorf("link: no session to site %s: counters could not be compared", g.site)
 	}
 	var request countersRequest
 	for _, s := range sessions {
@@ -217,14 +220,14 @@
 		return nil, 0, err
 	}
 	for _, s := range sessions {
-		theirs, known := response.Counters[s.id]
+		remote, known := response.Counters[s.id]
 		if !known {
-			continue // the process that received it has ended
+			continue // the remote gateway does not know the session: the process that accepted it has ended
 		}
 		compared++
-		for _, difference := range accounting.Reconcile(s.counters(), theirs) {
-			out = append(out, SessionDifference{s.id, difference})
+		for _, difference := range accounting.Reconcile(s.counters(), remote) {
+			differences = append(differences, SessionDifference{s.id, difference})
 		}
 	}
-	return out, compared, nil
+	return differences, compared, nil
 }
--- a/internal/sites/peering/inbound.go
+++ b/internal/sites/peering/inbound.go
@@ -9,29 +9,29 @@
 	"silvertrail/internal/sites/forwarding"
 )
 
-// siteSessions are the sessions that one site has opened here.
+// siteSessions are the inbound sessions of one site.
 type siteSessions struct {
-	sessions        []*inboundSession    // the newest last
-	retiredCounters []accounting.Counter // of sessions that are not kept any more
+	sessions        []*inboundSession    // oldest first
+	retiredCounters []accounting.Counter // of sessions that are no longer kept
 }
 
-// inboundSession is a session that another site has opened.
+// inboundSession is the receiving end of a session that a gateway of another site has opened.
 type inboundSession struct {
 	site        string
 	id          uint64
 	maxInFlight int
-	clock       func() int64 // reads this process's clock, in microseconds
+	clock       func() int64 // time since the start of this process, in microseconds
 
 	mu        sync.Mutex
 	receiver  *accounting.Receiver
 	delay     forwarding.DelayEstimator
-	roundTrip time.Duration // as the sender measures it
-	inFlight  int
+	roundTrip time.Duration // measured by the sender
+	inFlight  int           // admitted requests without a recorded outcome
 	connected bool
 }
 
-// openSession opens a session of a site. It returns false if the session exists, or if the site has as many as are kept and
-// all are connected or have requests in flight.
+// openSession opens a session of a site. It returns false if the session exists already, or if the site has reached its
+// limit of sessions and all of them are connected or have requests in flight.
 func (s *server) openSession(site string, id uint64) (*inboundSession, bool) {
 	gateways, _ := s.transport.gatewayCounts()
 	s.mu.Lock()
@@ -59,7 +59,7 @@
 	return session, true
 }
 
-// findSession returns a session of a site, or nil.
+// findSession returns the session of a site with the given ID, or nil.
 func (s *server) findSession(site string, id uint64) *inboundSession {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return received.find(id)
 }
 
-// find returns a session, or nil.
+// find returns the session with the given ID, or nil.
 func (s *siteSessions) find(id uint64) *inboundSession {
 	for _, session := range s.sessions {
 		if session.id == id {
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// retireIdle forgets the oldest session that has ended and has nothing in flight, except for its counters.
+// retireIdle removes the oldest idle session and adds its counters to retiredCounters. It returns false if no session is
+// idle.
 func (s *siteSessions) retireIdle() bool {
 	i := slices.IndexFunc(s.sessions, (*inboundSession).isIdle)
 	if i < 0 {
@@ -95,21 +96,21 @@
 	return true
 }
 
-// isIdle reports whether the session has ended and has nothing in flight.
+// isIdle reports whether the session is disconnected and has no requests in flight.
 func (s *inboundSession) isIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.connected && s.receiver.IsIdle()
 }
 
-// counters returns the counters of what came on the session.
+// counters returns the counters of the requests received on the session.
 func (s *inboundSession) counters() []accounting.Counter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.receiver.Counters()
 }
 
-// disconnect records that the session's connection has ended: nothing more of it is received.
+// disconnect records that the session's connection has ended. No further request of the session is accepted.
 func (s *inboundSession) disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +118,8 @@
 	s.receiver.Close()
 }
 
-// applyHeartbeat records what a heartbeat says.
+// applyHeartbeat updates the session from a heartbeat: it drops outcomes that the sender knows, and records the round trip
+// and a sample of the transit delay.
 func (s *inboundSession) applyHeartbeat(message *heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,19 +128,19 @@
 	s.queueingDelay(message.Clock)
 }
 
-// queueingDelay returns how much longer than usual a message was in transit that was sent at a reading of the sender's
-// clock. The caller holds the lock.
+// queueingDelay returns how much longer a message was in transit than the quickest recent one. sentAt is the sender's clock
+// when it sent the message, in microseconds. The caller holds the lock.
 func (s *inboundSession) queueingDelay(sentAt int64) time.Duration {
 	return s.delay.QueueingDelay(time.Duration(sentAt)*time.Microsecond, time.Duration(s.clock())*time.Microsecond)
 }
 
-// admission is what admit decides on a request.
+// admission is the result of admitting a request.
 type admission struct {
-	timeLeft time.Duration // what is left of the request's time here
-	overLimit     bool          // as many requests in flight as the session may have; it was counted nevertheless
+	timeLeft  time.Duration // until the deadline of the request, on arrival
+	overLimit bool          // the session has maxInFlight requests; the request is counted, but must be rejected
 }
 
-// admit counts a request that has arrived. After an error it must not run.
+// admit counts a request that has arrived. If it returns an error, the request is not counted and must not run.
 func (s *inboundSession) admit(r *Request) (admission, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,14 +150,14 @@
 	if err != nil {
 		return admission{}, err
 	}
-	full := s.inFlight >= s.maxInFlight
-	if !full {
+	overLimit := s.inFlight >= s.maxInFlight
+	if !overLimit {
 		s.inFlight++
 	}
-	return admission{timeLeft, full}, nil
+	return admission{timeLeft, overLimit}, nil
 }
 
-// finish records the outcome of a request that was admitted.
+// finish records the outcome of a request that admit has counted.
 func (s *inboundSession) finish(number uint64, outcome accounting.Outcome, admitted admission) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +167,8 @@
 	}
 }
 
-// outcomesOf returns the outcomes of some numbers, and whether one of them is still pending.
+// outcomesOf returns the outcomes of the requests with the given numbers, and whether any is still pending. A number that
+// has not arrived by now is rejected if it arrives later.
 func (s *inboundSession) outcomesOf(numbers []uint64) (outcomes []accounting.Outcome, pending bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +180,7 @@
 	return outcomes, pending
 }
 
-// closeReceiver ends the session's account: no further request of it is received.
+// closeReceiver ends the session's accounting. No further request of the session is accepted.
 func (s *inboundSession) closeReceiver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sites/peering/server.go
+++ b/internal/sites/peering/server.go
@@ -17,35 +17,36 @@
 )
 
 const (
-	minConnectionCapacity = 64 // connections accepted at once, of all sites; more if the sites may have more
+	minConnectionCapacity = 64 // lower limit of server.connectionCapacity
 
-	// connectionWindowBytes bounds what is in transit in one direction, and so what a small request or a heartbeat waits
-	// behind on a narrow path. With a round trip of 30 ms it lets 17 MB a second pass.
+	// connectionWindowBytes is the HTTP/2 flow-control window of a connection. It limits the data in transit in one
+	// direction, and so the data that delays a small request or a heartbeat on a path of low bandwidth. With a round trip
+	// of 30 ms it allows 17 MB/s.
 	connectionWindowBytes = 512 << 10
 
-	idleTimeout       = 2 * time.Second
-	sessionIdleTimeout       = time.Minute // of a connection without any stream
-	acceptBackoff     = 20 * time.Millisecond
-	drainPollInterval = 10 * time.Millisecond
-	maxFrameBytes     = 64 << 10
-	maxHTTPHeaderBytes  = 16 << 10
-	controlStreams    = 16 // beside the requests of a connection: heartbeats and the like
+	idleTimeout        = 2 * time.Second       // without a frame before a ping is sent, for the reply to it, and for a write
+	sessionIdleTimeout = time.Minute           // after which a connection without streams is closed
+	acceptBackoff      = 20 * time.Millisecond // after an error of Accept
+	drainPollInterval  = 10 * time.Millisecond // between two checks for open connections while draining
+	maxFrameBytes      = 64 << 10
+	maxHTTPHeaderBytes = 16 << 10
+	controlStreams     = 16 // of a connection, beside those of MaxInFlight requests, for heartbeats and other control messages
 )
 
-// server accepts the other sites' connections.
+// server accepts the connections of the other sites' gateways.
 type server struct {
 	transport  *Transport
 	listener   net.Listener
 	h2         *http2.Server
-	httpServer *http.Server // its Shutdown sends GOAWAY on all connections
-	handlers   sync.WaitGroup
+	httpServer *http.Server   // for ServeConn; its Shutdown sends GOAWAY on all connections
+	handlers   sync.WaitGroup // one for each accepted connection
 
 	mu          sync.Mutex
-	connections map[net.Conn]bool
-	sites       map[string]*siteSessions
+	connections map[net.Conn]bool        // accepted and not closed
+	sites       map[string]*siteSessions // by site name
 }
 
-// listen opens the listener and accepts connections until close.
+// listen opens the listener and starts to accept connections.
 func (t *Transport) listen() (*server, error) {
 	listener, err := net.Listen("tcp", t.options.Listen)
 	if err != nil {
@@ -57,7 +58,7 @@
 		connections: map[net.Conn]bool{},
 		sites:       map[string]*siteSessions{},
 		h2: &http2.Server{
-			MaxConcurrentStreams:         uint32(t.options.MaxInFlight + controlStreams), // beyond it the sender waits
+			MaxConcurrentStreams:         uint32(t.options.MaxInFlight + controlStreams), // at the limit the sender waits
 			MaxReadFrameSize:             maxFrameBytes,
 			MaxUploadBufferPerStream:     maxMessageBytes,
 			MaxUploadBufferPerConnection: connectionWindowBytes,
@@ -79,14 +80,14 @@
 	return s, nil
 }
 
-// accept serves connections until the listener is closed. Beyond the capacity they are closed at once.
+// accept serves connections until the listener is closed. Connections over the capacity are closed at once.
 func (s *server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // the process is out of file descriptors
+		case err != nil: // usually the process has no file descriptor left
 			time.Sleep(acceptBackoff)
 			continue
 		}
@@ -104,7 +105,7 @@
 	}
 }
 
-// admit counts a connection, if there is capacity for it.
+// admit counts a connection. It returns false if the capacity is reached or the transport is stopped.
 func (s *server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	return true
 }
 
-// release closes a connection and ends its count.
+// release closes a connection and stops counting it.
 func (s *server) release(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -124,14 +125,14 @@
 	delete(s.connections, conn)
 }
 
-// connectionCapacity returns the number of connections accepted at once: twice what all sites may have, as one may end
-// late after the other end has opened another.
+// connectionCapacity returns the maximum number of open connections. It is twice the number that the gateways of all sites
+// may use, because an old connection may end only after its replacement has been opened.
 func (s *server) connectionCapacity() int {
-	_, all := s.transport.gatewayCounts()
-	return max(minConnectionCapacity, 2*maxConnections*all)
+	_, total := s.transport.gatewayCounts()
+	return max(minConnectionCapacity, 2*maxConnections*total)
 }
 
-// serveConnection authenticates the other end and serves the connection until it ends.
+// serveConnection authenticates the client, if TLS is used, and serves the connection until it ends.
 func (s *server) serveConnection(conn net.Conn) error {
 	c := &connection{server: s}
 	if s.transport.credentials != nil {
@@ -153,10 +154,10 @@
 	return nil
 }
 
-// drain asks all sites to connect elsewhere, and waits until their connections have ended or ctx ends.
+// drain stops accepting connections and sends GOAWAY on the open ones. It waits until they have ended or ctx ends.
 func (s *server) drain(ctx context.Context) {
 	s.listener.Close()
-	_ = s.httpServer.Shutdown(ctx) // what is still open when ctx ends is closed with the process
+	_ = s.httpServer.Shutdown(ctx) // connections still open when ctx ends are closed with the process
 	for s.connectionCount() > 0 {
 		select {
 		case <-ctx.Done():
@@ -166,7 +167,7 @@
 	}
 }
 
-// connectionCount returns the number of connections that are served.
+// connectionCount returns the number of open connections.
 func (s *server) connectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +185,7 @@
 	s.handlers.Wait()
 }
 
-// counters returns the counters of what came from a site.
+// counters returns the counters of all requests received from a site.
 func (s *server) counters(site string) []accounting.Counter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sites/peering/session.go
+++ b/internal/sites/peering/session.go
@@ -20,34 +20,34 @@
 )
 
 const (
-	maxErrorBytes = 1024
+	maxErrorBytes = 1024 // of an error response that are read for the error text
 )
 
-// The reasons for which a session ends.
+// The errors that end a session.
 var (
-	errConnectionBroken = errors.New("the connection has broken")
-	errHeartbeatTimeout = errors.New("no answer to a heartbeat in time")
-	errPeerDraining     = errors.New("the other end asks for a new connection")
+	errConnectionBroken = errors.New("link: connection closed")
+	errHeartbeatTimeout = errors.New("link: heartbeat timed out without any response")
+	errPeerDraining     = errors.New("link: the remote gateway is draining the connection")
 )
 
-// session is one connection to a gateway, and the account of the requests that were forwarded on it.
+// session is the sending end of one connection to a remote gateway, with the accounting of the requests forwarded on it.
 type session struct {
 	gateway       *gateway
 	id            uint64
-	remoteProcess uint64
+	remoteProcess uint64 // process ID that the remote gateway sent in its greeting
 	conn          net.Conn
 	client        *http2.ClientConn
-	wakeups       chan struct{} // holds a token when something is to be settled
+	wakeups       chan struct{} // holds a token when run must check the session at once
 
 	mu           sync.Mutex
 	sender       *accounting.Sender
-	waiters      map[uint64]chan accounting.Outcome // by number, for requests without a response
+	waiters      map[uint64]chan accounting.Outcome // by request number; of requests that ended without a response
 	roundTrip    time.Duration                      // moving average
 	lastResponse time.Time
-	ended        bool
+	ended        bool // the connection is closed, and no further request is sent
 }
 
-// connect dials, greets and exchanges a first heartbeat.
+// connect opens a session to the remote gateway: it dials, sends the greeting and exchanges a first heartbeat.
 func (g *gateway) connect() (*session, error) {
 	ctx, cancel := context.WithTimeout(g.ctx, handshakeTimeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// dial connects to the gateway, under TLS if there are credentials.
+// dial connects to the remote gateway, with TLS if there are credentials.
 func (g *gateway) dial(ctx context.Context) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", g.address)
@@ -84,12 +84,12 @@
 	secured := tls.Client(conn, g.transport.credentials.clientConfig(g.site))
 	if err := secured.HandshakeContext(ctx); err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("handshake: %w", err)
+		return nil, fmt.Errorf("link: TLS handshake: %w", err)
 	}
 	return secured, nil
 }
 
-// open begins HTTP/2 on the connection, greets and exchanges a first heartbeat.
+// open starts HTTP/2 on the connection, sends the greeting and exchanges a first heartbeat.
 func (s *session) open(ctx context.Context) error {
 	client, err := newClientConn(s.conn)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return s.exchangeHeartbeat()
 }
 
-// newClientConn begins HTTP/2 on a connection.
+// newClientConn starts HTTP/2 on a connection.
 func newClientConn(conn net.Conn) (*http2.ClientConn, error) {
 	transport, err := http2.ConfigureTransports(&http.Transport{
 		DisableCompression: true,
@@ -119,7 +119,7 @@
 	return transport.NewClientConn(conn)
 }
 
-// greet opens the session at the other end.
+// greet sends the greeting that opens the session at the remote gateway.
 func (s *session) greet(ctx context.Context) error {
 	t := s.gateway.transport
 	request := &helloRequest{
@@ -136,15 +136,15 @@
 	case err != nil:
 		return err
 	case response.Error != "":
-		return fmt.Errorf("greeted with: %s", response.Error)
+		return fmt.Errorf("link: the remote gateway rejected the greeting: %s", response.Error)
 	case response.Version < oldestVersion || response.Version > newestVersion:
-		return fmt.Errorf("the other end speaks version %d", response.Version)
+		return fmt.Errorf("link: the remote gateway selected protocol version %d, which is not supported", response.Version)
 	}
 	s.remoteProcess = response.ProcessID
 	return nil
 }
 
-// end closes the connection, if it is not closed yet.
+// end closes the connection. No further request is sent on the session.
 func (s *session) end() {
 	s.conn.Close()
 	s.mu.Lock()
@@ -152,7 +152,8 @@
 	s.ended = true
 }
 
-// run sends heartbeats and settles requests without a response, until the session ends. It returns why.
+// run sends heartbeats and settles requests without a response until the session ends. It returns the error that ended
+// the session.
 func (s *session) run() error {
 	ticker := time.NewTicker(s.gateway.transport.options.HeartbeatInterval)
 	defer ticker.Stop()
@@ -178,7 +179,7 @@
 	}
 }
 
-// wake makes run look at the session now and not with its next heartbeat.
+// wake makes run check the connection and settle requests at once, without waiting for the next heartbeat.
 func (s *session) wake() {
 	select {
 	case s.wakeups <- struct{}{}:
@@ -186,8 +187,8 @@
 	}
 }
 
-// exchangeHeartbeat sends this site's state to the other end and records the state there. An answer that is late is no
-// error while the other end answers requests.
+// exchangeHeartbeat sends this site's state to the remote gateway and records the state in its response. A late response is
+// not an error while the remote gateway answers other requests.
 func (s *session) exchangeHeartbeat() error {
 	t := s.gateway.transport
 	ctx, cancel := context.WithTimeout(s.gateway.ctx, t.options.HeartbeatTimeout)
@@ -216,68 +217,68 @@
 	return nil
 }
 
-// isUnresponsive reports whether the other end has answered nothing at all for the heartbeat timeout.
+// isUnresponsive reports whether no response of any kind has arrived within the heartbeat timeout.
 func (s *session) isUnresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.lastResponse) >= s.gateway.transport.options.HeartbeatTimeout
 }
 
-// inFlight returns the number of the session's requests without a known outcome.
+// inFlight returns the number of forwarded requests on the session without a known outcome.
 func (s *session) inFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sender.Pending()
 }
 
-// counters returns the counters of what was sent on the session.
+// counters returns the counters of the requests sent on the session.
 func (s *session) counters() []accounting.Counter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sender.Counters()
 }
 
-// request sends one message on the session's connection and decodes the response to it.
+// request sends a message on the session's connection and decodes the response.
 func (s *session) request(ctx context.Context, path string, message, response any) error {
 	return s.requestWhileConnected(ctx, path, message, response, nil)
 }
 
-// requestWhileConnected is request for a client that may disconnect: once isDisconnected reports so, nothing more of the
-// message is sent, and what the other end has of it is no complete message. It may be nil.
+// requestWhileConnected is like request, for a client that may disconnect. Once isDisconnected returns true, the rest of the
+// message is not sent, so that the remote gateway never has the complete message. isDisconnected may be nil.
 func (s *session) requestWhileConnected(ctx context.Context, path string, message, response any, isDisconnected func() bool) error {
-	text, err := encode(message)
+	payload, err := encode(message)
 	if err != nil {
 		return err
 	}
-	if len(text) > maxMessageBytes {
-		return fmt.Errorf("link: a message of %d bytes, over %d", len(text), maxMessageBytes)
+	if len(payload) > maxMessageBytes {
+		return fmt.Errorf("link: message of %d bytes exceeds the limit of %d bytes", len(payload), maxMessageBytes)
 	}
-	body := &abortableReader{bytes.NewReader(text), isDisconnected}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+s.gateway.site+path, body)
+	body := &abortableReader{bytes.NewReader(payload), isDisconnected}
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+s.gateway.site+path, body)
 	if err != nil {
 		return err
 	}
-	r.ContentLength = int64(len(text))
-	answer, err := s.client.RoundTrip(r)
+	httpRequest.ContentLength = int64(len(payload))
+	httpResponse, err := s.client.RoundTrip(httpRequest)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
+	defer httpResponse.Body.Close()
 	s.mu.Lock()
 	s.lastResponse = time.Now()
 	s.mu.Unlock()
-	if answer.StatusCode != http.StatusOK {
-		detail, _ := io.ReadAll(io.LimitReader(answer.Body, maxErrorBytes))
-		return fmt.Errorf("link: answered with %d %s", answer.StatusCode, bytes.TrimSpace(detail))
+	if httpResponse.StatusCode != http.StatusOK {
+		detail, _ := io.ReadAll(io.LimitReader(httpResponse.Body, maxErrorBytes))
+		return fmt.Errorf("link: remote gateway responded with status %d %s", httpResponse.StatusCode, bytes.TrimSpace(detail))
 	}
-	return decode(answer.Body, response)
+	return decode(httpResponse.Body, response)
 }
 
-// abortableReader reads a message for as long as its client is connected. It is read when the connection accepts it:
-// whatever the message waited for before, isDisconnected is asked after it.
+// abortableReader reads a message as long as its client is connected. HTTP/2 reads it only when the connection can send
+// data. The check for a disconnect therefore comes after any wait for a stream or for the flow-control window.
 type abortableReader struct {
 	message        io.Reader
-	isDisconnected func() bool // may be nil
+	isDisconnected func() bool // nil: the client stays connected
 }
 
 var errClientDisconnected = errors.New("link: the client has disconnected")
@@ -290,8 +291,8 @@
 	return r.message.Read(b)
 }
 
-// forward sends a request, for which the caller has reserved a stream, and waits for its response. Without one the
-// outcome is settled with the other end.
+// forward sends a request and waits for its response. The caller has reserved a stream for it. If no valid response arrives,
+// run settles the outcome with the remote gateway.
 func (s *session) forward(ctx context.Context, r *Request) ForwardResult {
 	s.mu.Lock()
 	if s.ended {
--- a/internal/sites/peering/settle.go
+++ b/internal/sites/peering/settle.go
@@ -7,8 +7,8 @@
 	"silvertrail/internal/sites/accounting"
 )
 
-// settleAll asks the other end, over this session, for the outcomes of all requests without a response: those of this
-// session and of the ended ones before it.
+// settleAll asks the remote gateway over this session for the outcomes of all requests without a response. It covers the
+// requests of this session and of ended sessions to the same gateway.
 func (s *session) settleAll() error {
 	s.gateway.mu.Lock()
 	sessions := append([]*session{}, s.gateway.endedSessions...)
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// settleSession asks for the outcomes of one session's requests. If it returns true there are further ones to ask for that
-// may be known by now.
+// settleSession asks for the outcomes of up to maxSettleNumbers requests of one session. It returns true if more requests may
+// be waiting and this call made progress.
 func (s *session) settleSession(other *session) (more bool, err error) {
 	other.mu.Lock()
 	numbers := other.sender.Unsettled(maxSettleNumbers)
@@ -43,15 +43,16 @@
 		defer cancel()
 		request := &settleRequest{SessionID: other.id, SessionEnded: ended, Numbers: numbers}
 		if err := s.request(ctx, pathSettle, request, &response); err != nil {
-			return false, fmt.Errorf("settling: %w", err)
+			return false, fmt.Errorf("link: settling request outcomes: %w", err)
 		}
 	}
 	progress := other.resolve(numbers, response)
 	return progress && len(numbers) == maxSettleNumbers, nil
 }
 
-// resolve records the outcomes of some numbers, and reports whether one of them is known now. Without a known session the
-// process that received the requests has ended: nobody can tell any more what became of them.
+// resolve records the outcomes of the requests with the given numbers, and reports whether any of them is final. If the
+// response does not know the session, the process that received the requests has ended. Their outcomes cannot be determined
+// any more, and they may have run.
 func (s *session) resolve(numbers []uint64, response settleResponse) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sites/peering/status.go
+++ b/internal/sites/peering/status.go
@@ -10,12 +10,12 @@
 	"silvertrail/internal/sites/forwarding"
 )
 
-// SiteStatus is the status of the connection to another site.
+// SiteStatus is the status of the link to another site.
 type SiteStatus struct {
 	forwarding.Site
 	State            string               `json:"state"`
 	Address          string               `json:"address"`
-	Since            time.Time            `json:"since"` // of the session, or of its loss
+	Since            time.Time            `json:"since"` // when the link of the best gateway came up or went down
 	Sessions         int                  `json:"sessions"`
 	LastError        string               `json:"fault,omitempty"`
 	Unsettled        int                  `json:"unsettled"`
@@ -23,10 +23,10 @@
 	Received         []accounting.Counter `json:"received"`
 	Differences      []SessionDifference  `json:"differs,omitempty"`
 	SessionsCompared int                  `json:"sessions_compared,omitempty"`
-	Gateways         []GatewayStatus      `json:"gateways,omitempty"` // if there are several
+	Gateways         []GatewayStatus      `json:"gateways,omitempty"` // only if the site has several
 }
 
-// GatewayStatus is the status of the connection to one of a site's gateways.
+// GatewayStatus is the status of the link to one gateway of a site.
 type GatewayStatus struct {
 	Address   string    `json:"address"`
 	State     string    `json:"state"`
@@ -36,14 +36,14 @@
 	LastError string    `json:"fault,omitempty"`
 }
 
-// SessionDifference is a counter in which the two ends of a session differ.
+// SessionDifference is a counter that differs between the two ends of a session.
 type SessionDifference struct {
 	Session uint64 `json:"session"`
 	accounting.Difference
 }
 
-// Status returns the status of all connections. With reconcile it asks the other ends for their counters and returns all
-// that differ.
+// Status returns the status of the links to all sites. With reconcile it also compares the counters with those of the remote
+// gateways and includes the differences.
 func (t *Transport) Status(ctx context.Context, reconcile bool) []SiteStatus {
 	t.mu.Lock()
 	sites := t.table.Sites()
@@ -55,7 +55,7 @@
 	return out
 }
 
-// siteStatus returns the status of the connection to one site.
+// siteStatus returns the status of the link to one site.
 func (t *Transport) siteStatus(ctx context.Context, site forwarding.Site, reconcile bool) SiteStatus {
 	status := SiteStatus{Site: site, State: site.State.String(), Received: t.server.counters(site.Name)}
 	gateways, states := t.gatewayStates(site.Name)
@@ -75,7 +75,7 @@
 		}
 		status.Sessions += gatewayStatus.Sessions
 		status.Unsettled += gatewayStatus.Unsettled
-		if i == 0 || states[i] > best { // the site is in the state of its best gateway
+		if i == 0 || states[i] > best { // Since is that of the gateway with the best state
 			best, status.Since = states[i], gatewayStatus.Since
 		}
 		addresses = append(addresses, gatewayStatus.Address)
@@ -92,7 +92,7 @@
 	return status
 }
 
-// gatewayStates returns the gateways of a site and their states.
+// gatewayStates returns the gateways of a site and their states, in the same order. Disconnected gateways are Unavailable.
 func (t *Transport) gatewayStates(site string) ([]*gateway, []forwarding.State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/sites/peering/transport.go
+++ b/internal/sites/peering/transport.go
@@ -16,13 +16,13 @@
 	"silvertrail/internal/sites/forwarding"
 )
 
-// Transport connects a gateway to those of all other sites. Its methods may be called from any goroutine.
+// Transport connects this gateway to the gateways of all other sites. Its methods may be called concurrently.
 type Transport struct {
 	options     Options
 	log         *slog.Logger
 	processID   uint64
 	startedAt   time.Time
-	credentials *credentials // nil: plain connections
+	credentials *credentials // nil: connections without TLS
 	server      *server
 	ctx         context.Context
 	stop        context.CancelFunc
@@ -33,7 +33,7 @@
 	gateways map[string][]*gateway // by site
 }
 
-// Start listens, and keeps this gateway connected to all others until Close.
+// Start opens the listener and keeps this gateway connected to the gateways of all peers until Close.
 func Start(o Options) (*Transport, error) {
 	o.Connections = o.connections()
 	t := &Transport{
@@ -61,22 +61,22 @@
 	return t, nil
 }
 
-// checkLoopback rejects an address that other hosts can reach.
+// checkLoopback returns an error for a listen address that is not a loopback address.
 func checkLoopback(address string) error {
 	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil || !resolved.IP.IsLoopback() {
-		return errors.New("link: plain connections are for loopback alone")
+		return errors.New("link: connections without TLS are allowed on loopback addresses only")
 	}
 	return nil
 }
 
-// Addr returns the address that it listens on.
+// Addr returns the address of the listener.
 func (t *Transport) Addr() string { return t.server.listener.Addr().String() }
 
-// clock returns the reading of this process's clock that messages carry, in microseconds.
+// clock returns the time since the start of the Transport in microseconds, which messages carry as Clock.
 func (t *Transport) clock() int64 { return time.Since(t.startedAt).Microseconds() }
 
-// Update applies other peers and priority weights. Other changes need a restart, which the log says.
+// Update applies new peers and priority weights. Other changes need a restart and are logged.
 func (t *Transport) Update(o Options) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// updatePeer starts and stops the gateways of a site so that they are at its addresses. The caller holds the lock.
+// updatePeer starts gateways for new addresses of a site and stops those of removed addresses. The caller holds the lock.
 func (t *Transport) updatePeer(peer Peer) {
 	t.table.Add(peer.Name)
 	current := t.gateways[peer.Name]
@@ -125,7 +125,7 @@
 	t.updateSite(peer.Name)
 }
 
-// gatewaysInOrder returns the gateways of a site in the order in which a request tries them.
+// gatewaysInOrder returns the gateways of a site in the order in which they are tried for a request.
 func (t *Transport) gatewaysInOrder(site string) []*gateway {
 	t.mu.Lock()
 	all := slices.Clone(t.gateways[site])
@@ -147,7 +147,7 @@
 	return out
 }
 
-// gatewayCounts returns the number of gateways of the site that has most, and of all sites.
+// gatewayCounts returns the largest number of gateways of one site, and the number of gateways of all sites.
 func (t *Transport) gatewayCounts() (most, all int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,7 +165,7 @@
 	return t.gateways[site] != nil
 }
 
-// markConnected records a gateway's answer to a heartbeat.
+// markConnected records the state and the round trip from a gateway's response to a heartbeat.
 func (t *Transport) markConnected(g *gateway, state forwarding.State, roundTrip time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,7 +173,7 @@
 	t.updateSite(g.site)
 }
 
-// markDisconnected records that a gateway has no session any more.
+// markDisconnected records that a gateway has no session in use.
 func (t *Transport) markDisconnected(g *gateway) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +181,7 @@
 	t.updateSite(g.site)
 }
 
-// updateSite passes what a site's gateways say on to the table. The caller holds the lock.
+// updateSite updates the forwarding table from the states of a site's gateways. The caller holds the lock.
 func (t *Transport) updateSite(site string) {
 	var gateways []forwarding.Gateway
 	for _, g := range t.gateways[site] {
@@ -195,30 +195,31 @@
 	t.table.UpdateState(site, forwarding.SiteState(gateways), gateways[order[0]].RoundTrip)
 }
 
-// Pick chooses the site that a request is forwarded to, as forwarding.Table does. A site it returned must be reported to
-// RecordResult.
+// Pick chooses the site to which a request is forwarded, as forwarding.Table does. The caller must report the result for the
+// returned site to RecordResult.
 func (t *Transport) Pick(r forwarding.Request) (site string, retryAfter time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Pick(time.Now(), r)
 }
 
-// RecordResult records how a request ended that was forwarded to a site.
+// RecordResult records the result of a request for which Pick returned a site.
 func (t *Transport) RecordResult(site string, weight float64, result forwarding.Result, retryAfter time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.RecordResult(time.Now(), site, weight, result, retryAfter)
 }
 
-// ForwardResult is what is known of a request that was forwarded.
+// ForwardResult is the result of forwarding a request, as far as it is known.
 type ForwardResult struct {
-	Response *Response          // nil: none arrived
-	Outcome  accounting.Outcome // Pending: not known yet
-	Sent     bool               // it was counted; otherwise nothing of it was sent
-	settled  chan accounting.Outcome
+	Response *Response               // nil if no response arrived
+	Outcome  accounting.Outcome      // Pending until the request is settled
+	Sent     bool                    // the request was counted; if false, no part of it was sent
+	settled  chan accounting.Outcome // receives the outcome if Outcome is Pending
 }
 
-// Forward sends a request to a site and waits for its response. It tries the site's gateways until one accepts it.
+// Forward sends a request to a site and waits for its response. It tries the site's gateways in order until the request is
+// sent to one.
 func (t *Transport) Forward(ctx context.Context, site string, r *Request) ForwardResult {
 	for _, g := range t.gatewaysInOrder(site) {
 		if result := g.forward(ctx, r); result.Sent {
@@ -228,26 +229,26 @@
 	return ForwardResult{Outcome: accounting.NeverRan}
 }
 
-// Settle waits until the outcome of a forwarded request is known. It returns Pending if ctx ends before.
+// Settle waits until the outcome of a forwarded request is known. If ctx ends first, it returns Pending.
 func (t *Transport) Settle(ctx context.Context, result ForwardResult) accounting.Outcome {
 	if result.Outcome != accounting.Pending {
 		return result.Outcome
 	}
 	select {
 	case outcome := <-result.settled:
-		result.settled <- outcome // for the next call
+		result.settled <- outcome // keeps the outcome for further calls
 		return outcome
 	case <-ctx.Done():
 		return accounting.Pending
 	}
 }
 
-// Lookup asks all connected gateways of a site what they know of a key. It returns an error if none knows the key and one
-// could not be asked.
+// Lookup asks the gateways of a site what they know about an idempotency key. If several know it, the location with the
+// longest retry window is returned. It returns an error if no gateway knows the key and any lookup failed.
 func (t *Transport) Lookup(ctx context.Context, site string, id idempotency.KeyID) (KeyLocation, error) {
 	gateways := t.gatewaysInOrder(site)
 	if len(gateways) == 0 {
-		return KeyLocation{}, fmt.Errorf("link: no sala named %q within reach", site)
+		return KeyLocation{}, fmt.Errorf("link: no reachable gateway of sala %q for the key lookup", site)
 	}
 	found := make([]KeyLocation, len(gateways))
 	errs := make([]error, len(gateways))
@@ -268,14 +269,15 @@
 	return latest, errors.Join(errs...)
 }
 
-// Drain asks the other sites to connect elsewhere and answers what is in flight, until the deadline at the latest.
+// Drain asks the other sites to close their connections and waits until the requests in flight are answered, at most until
+// the deadline.
 func (t *Transport) Drain(deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	t.server.drain(ctx)
 }
 
-// Close ends everything at once.
+// Close closes the listener and all connections immediately, and waits for all goroutines.
 func (t *Transport) Close() {
 	t.stop()
 	t.server.close()
--- a/internal/sites/peering/transport_test.go
+++ b/internal/sites/peering/transport_test.go
@@ -32,9 +32,9 @@
 
 // fakeHandler is a site whose responses the test decides.
 type fakeHandler struct {
-	respond func(ctx context.Context, c *Request) *Response
-	state atomic.Int32
-	requestCount  atomic.Int64
+	respond      func(ctx context.Context, c *Request) *Response
+	state        atomic.Int32
+	requestCount atomic.Int64
 }
 
 func (s *fakeHandler) ServeRequest(ctx context.Context, from string, c *Request) *Response {
@@ -365,8 +365,8 @@
 type rawClient struct {
 	net.Conn
 	*http2.Framer
-	t   testing.TB
-	encoder *hpack.Encoder
+	t           testing.TB
+	encoder     *hpack.Encoder
 	headerBlock bytes.Buffer
 }
 
