--- a/internal/sites/peering/disconnect_test.go
+++ b/internal/sites/peering/disconnect_test.go
@@ -11,82 +11,82 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// TestClientDisconnectsBeforeSending has a client disconnect before its request is sent: it does not arrive at the other
-// site, and both ends agree that it never ran. A request whose client stays is served.
-func TestClientDisconnectsBeforeSending(t *testing.T) {
+// TestRequestOfDisconnectedClientIsNotSent forwards a request whose client has disconnected before it is sent. The request
+// does not reach the other site, and the counters of both ends agree. A request of a connected client is served.
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	t.Parallel()
-	for _, size := range []int{0, 100 << 10} { // in one piece, and in several
-		far := newFakeHandler(nil)
-		from, _, _ := connectTwoSites(t, far)
+	for _, size := range []int{0, 100 << 10} { // bytes of the body: a message of one HTTP/2 frame, and one of several
+		remote := newFakeHandler(nil)
+		from, _, _ := connectTwoSites(t, remote)
 		ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
 		defer cancel()
-		var asked atomic.Int64
-		c := newRequest(size)
-		c.IsDisconnected = func() bool {
-			asked.Add(1)
-			return true // and nobody has noticed yet: the context stands
+		var checkCount atomic.Int64
+		request := newRequest(size)
+		request.IsDisconnected = func() bool {
+			checkCount.Add(1)
+			return true // the context has not been cancelled yet
 		}
-		if x := from.Forward(ctx, "b", c); x.Response != nil {
-			t.Errorf("answered %+v", x.Response)
+		if result := from.Forward(ctx, "b", request); result.Response != nil {
+			t.Errorf("request of a disconnected client got the response %+v", result.Response)
 		}
 		awaitReconciled(t, from)
-		if asked.Load() == 0 || far.requestCount.Load() > 0 {
-			t.Errorf("asked %d times, %d came", asked.Load(), far.requestCount.Load())
+		if checkCount.Load() == 0 || remote.requestCount.Load() > 0 {
+			t.Errorf("IsDisconnected was called %d times and %d requests were received, want some calls and no request", checkCount.Load(), remote.requestCount.Load())
 		}
-		c = newRequest(size)
-		c.IsDisconnected = func() bool { return false }
-		stays, end := context.WithTimeout(t.Context(), lbtest.Wait)
-		defer end()
-		if x := from.Forward(stays, "b", c); x.Outcome != accounting.Served || len(x.Response.Body) != size {
-			t.Errorf("connected client: %+v", x)
+		request = newRequest(size)
+		request.IsDisconnected = func() bool { return false }
+		connectedCtx, cancelConnected := context.WithTimeout(t.Context(), lbtest.Wait)
+		defer cancelConnected()
+		if result := from.Forward(connectedCtx, "b", request); result.Outcome != accounting.Served || len(result.Response.Body) != size {
+			t.Errorf("request of a connected client: %+v, want served with its own body", result)
 		}
 	}
 }
 
-// TestClientDisconnectsInFlight has a client disconnect while its request is in flight: the other site stops serving it,
-// also if the request arrives only after the client has left.
-func TestClientDisconnectsInFlight(t *testing.T) {
+// TestClientDisconnectCancelsRequestInFlight disconnects a client while its request is in flight. The other site stops serving
+// the request, even if the request arrives only after the client has disconnected.
+func TestClientDisconnectCancelsRequestInFlight(t *testing.T) {
 	t.Parallel()
-	for name, heldUp := range map[string]bool{"delivered": false, "delayed": true} {
+	for name, delayed := range map[string]bool{"delivered": false, "delayed": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came, ended := make(chan struct{}, 1), make(chan struct{}, 1)
-			far := newFakeHandler(func(ctx context.Context, c *Request) *Response {
-				came <- struct{}{}
+			received, cancelled := make(chan struct{}, 1), make(chan struct{}, 1)
+			remote := newFakeHandler(func(ctx context.Context, request *Request) *Response {
+				received <- struct{}{}
 				select {
 				case <-ctx.Done():
-					ended <- struct{}{}
+					cancelled <- struct{}{}
 				case <-time.After(lbtest.Wait):
 				}
 				return &Response{Outcome: accounting.NeverRan}
 			})
-			from, path, _ := connectTwoSites(t, far)
-			path.Block(fake.ToServer, heldUp)
+			from, path, _ := connectTwoSites(t, remote)
+			path.Block(fake.ToServer, delayed)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			sent, over := make(chan struct{}), make(chan ForwardResult, 1)
-			c := newRequest(0)
-			var once atomic.Bool
-			c.IsDisconnected = func() bool {
-				if once.CompareAndSwap(false, true) {
+			sent, results := make(chan struct{}), make(chan ForwardResult, 1)
+			request := newRequest(0)
+			var checked atomic.Bool
+			request.IsDisconnected = func() bool {
+				if checked.CompareAndSwap(false, true) {
 					close(sent)
 				}
 				return false
 			}
-			go func() { over <- from.Forward(ctx, "b", c) }()
+			go func() { results <- from.Forward(ctx, "b", request) }()
 			<-sent
-			if !heldUp {
-				<-came
+			if !delayed {
+				<-received
 			}
 			cancel()
-			if x := <-over; x.Response != nil {
-				t.Errorf("answered %+v", x.Response)
+			if result := <-results; result.Response != nil {
+				t.Errorf("cancelled request got the response %+v", result.Response)
 			}
 			path.Block(fake.ToServer, false)
 			lbtest.Until(t, "site b is connected", func() bool { return isConnected(from, "b") })
-			awaitReconciled(t, from) // the request is not served any more
-			if far.requestCount.Load() > 0 && len(ended) == 0 {
-				t.Error("it is still served")
+			awaitReconciled(t, from) // the remote handler has returned
+			if remote.requestCount.Load() > 0 && len(cancelled) == 0 {
+				t.Error("the request is still served after its client disconnected")
 			}
 		})
 	}
--- a/internal/sites/peering/format_test.go
+++ b/internal/sites/peering/format_test.go
@@ -13,7 +13,8 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// TestMessageFormat encodes each message to the recorded bytes, and decodes these to the same message.
+// TestMessageFormat checks that each message is encoded to the bytes in its golden file, and that these bytes decode to the
+// same message.
 func TestMessageFormat(t *testing.T) {
 	for name, message := range map[string]any{
 		"hello": &helloRequest{}, "welcome": &helloResponse{}, "state": &heartbeat{}, "call": &Request{}, "answer": &Response{}, "settle": &settleRequest{},
@@ -21,52 +22,52 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.Fill(message)
-			text, err := encode(message)
+			data, err := encode(message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			recorded := golden.Binary(t, name+".hex", text)
-			read := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-			if err := decodeUnchecked(recorded, read); err != nil {
+			recorded := golden.Binary(t, name+".hex", data)
+			decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+			if err := decodeUnchecked(recorded, decoded); err != nil {
 				t.Fatal(err)
 			}
-			again, err := encode(read)
+			encodedAgain, err := encode(decoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(again, recorded) {
-				t.Errorf("encoded again as %x, want %x", again, recorded)
+			if !bytes.Equal(encodedAgain, recorded) {
+				t.Errorf("the decoded message is encoded as %x, want %x", encodedAgain, recorded)
 			}
 		})
 	}
 }
 
-// decodeUnchecked decodes a message without validation, which filled ones do not pass.
-func decodeUnchecked(text []byte, into any) error {
-	return codec.NewDecoderBytes(text, msgpackHandle).Decode(into)
+// decodeUnchecked decodes a message without validation, because messages from golden.Fill are not valid.
+func decodeUnchecked(data []byte, into any) error {
+	return codec.NewDecoderBytes(data, msgpackHandle).Decode(into)
 }
 
-// TestMessageEnumerations checks the numbers of outcomes, reasons and states, which the protocol contains, and the names
-// that operators read.
-func TestMessageEnumerations(t *testing.T) {
+// TestEnumerationValuesAreStable checks the numbers of outcomes, reasons and states, which are part of the protocol, and their
+// names, which operators read.
+func TestEnumerationValuesAreStable(t *testing.T) {
 	var names []string
-	for n, o := range []accounting.Outcome{accounting.Pending, accounting.Served, accounting.Rejected, accounting.NeverRan, accounting.MayHaveRun, accounting.NeverArrived} {
-		if int(o) != n {
-			t.Errorf("outcome %v is %d, want %d", o, o, n)
+	for want, outcome := range []accounting.Outcome{accounting.Pending, accounting.Served, accounting.Rejected, accounting.NeverRan, accounting.MayHaveRun, accounting.NeverArrived} {
+		if int(outcome) != want {
+			t.Errorf("outcome %v is %d, want %d", outcome, outcome, want)
 		}
-		names = append(names, o.String())
+		names = append(names, outcome.String())
 	}
-	for n, r := range []accounting.Reason{accounting.Shed, accounting.Failed, accounting.KeyOwned, accounting.Transit} {
-		if int(r) != n {
-			t.Errorf("reason %v is %d, want %d", r, r, n)
+	for want, reason := range []accounting.Reason{accounting.Shed, accounting.Failed, accounting.KeyOwned, accounting.Transit} {
+		if int(reason) != want {
+			t.Errorf("reason %v is %d, want %d", reason, reason, want)
 		}
-		names = append(names, r.String())
+		names = append(names, reason.String())
 	}
-	for n, s := range []forwarding.State{forwarding.Unavailable, forwarding.Draining, forwarding.Shedding, forwarding.Available} {
-		if int(s) != n {
-			t.Errorf("state %v is %d, want %d", s, s, n)
+	for want, state := range []forwarding.State{forwarding.Unavailable, forwarding.Draining, forwarding.Shedding, forwarding.Available} {
+		if int(state) != want {
+			t.Errorf("state %v is %d, want %d", state, state, want)
 		}
-		names = append(names, s.String())
+		names = append(names, state.String())
 	}
 	text, err := json.MarshalIndent(names, "", " ")
 	if err != nil {
@@ -75,7 +76,7 @@
 	golden.Text(t, "names.json", text)
 }
 
-// TestViewFormat checks what the control socket returns for connections to sites.
+// TestViewFormat checks the JSON that the control socket returns for site links and key lookups.
 func TestViewFormat(t *testing.T) {
 	for name, value := range map[string]any{"sala": &SiteStatus{}, "found": &KeyLocation{}} {
 		golden.Fill(value)
--- a/internal/sites/peering/transport_test.go
+++ b/internal/sites/peering/transport_test.go
@@ -30,46 +30,48 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeHandler is a site whose responses the test decides.
+// fakeHandler is a fake Handler. It counts the requests that it receives, and answers them with respond. If respond is nil,
+// it serves each request with its own body.
 type fakeHandler struct {
-	respond      func(ctx context.Context, c *Request) *Response
+	respond      func(ctx context.Context, request *Request) *Response
 	state        atomic.Int32
 	requestCount atomic.Int64
 }
 
-func (s *fakeHandler) ServeRequest(ctx context.Context, from string, c *Request) *Response {
-	s.requestCount.Add(1)
-	if s.respond == nil {
-		return &Response{Outcome: accounting.Served, Status: 200, Body: c.Body}
+func (h *fakeHandler) ServeRequest(ctx context.Context, from string, request *Request) *Response {
+	h.requestCount.Add(1)
+	if h.respond == nil {
+		return &Response{Outcome: accounting.Served, Status: 200, Body: request.Body}
 	}
-	return s.respond(ctx, c)
+	return h.respond(ctx, request)
 }
-func (s *fakeHandler) State() forwarding.State { return forwarding.State(s.state.Load()) }
-func (s *fakeHandler) Lookup(id idempotency.KeyID) KeyLocation {
+func (h *fakeHandler) State() forwarding.State { return forwarding.State(h.state.Load()) }
+func (h *fakeHandler) Lookup(id idempotency.KeyID) KeyLocation {
 	return KeyLocation{Known: id[0] == 1, Cluster: "c"}
 }
 
-func newFakeHandler(cross func(context.Context, *Request) *Response) *fakeHandler {
-	s := &fakeHandler{respond: cross}
-	s.state.Store(int32(forwarding.Available))
-	return s
+func newFakeHandler(respond func(context.Context, *Request) *Response) *fakeHandler {
+	h := &fakeHandler{respond: respond}
+	h.state.Store(int32(forwarding.Available))
+	return h
 }
 
-func startTransport(t testing.TB, site string, s Handler, id *Identity, log io.Writer, peers ...Peer) *Transport {
+// startTransport starts a Transport with short heartbeats, and closes it at the end of the test.
+func startTransport(t testing.TB, site string, handler Handler, identity *Identity, logOutput io.Writer, peers ...Peer) *Transport {
 	t.Helper()
-	l, err := Start(Options{Site: site, Listen: "127.0.0.1:0", Identity: id, Peers: peers, HeartbeatInterval: 20 * time.Millisecond, HeartbeatTimeout: 200 * time.Millisecond,
-		MaxInFlight: 64, PriorityWeights: []float64{1, 10}, Handler: s, Logger: slog.New(slog.NewTextHandler(log, nil))})
+	transport, err := Start(Options{Site: site, Listen: "127.0.0.1:0", Identity: identity, Peers: peers, HeartbeatInterval: 20 * time.Millisecond, HeartbeatTimeout: 200 * time.Millisecond,
+		MaxInFlight: 64, PriorityWeights: []float64{1, 10}, Handler: handler, Logger: slog.New(slog.NewTextHandler(logOutput, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
-	return l
+	t.Cleanup(transport.Close)
+	return transport
 }
 
-// connectTwoSites connects site a to site b over a path.
-func connectTwoSites(t testing.TB, b Handler) (from *Transport, path *fake.Path, to *Transport) {
+// connectTwoSites starts sites a and b, and connects a to b over a fake network path. Site b serves requests with handler.
+func connectTwoSites(t testing.TB, handler Handler) (from *Transport, path *fake.Path, to *Transport) {
 	t.Helper()
-	to = startTransport(t, "b", b, nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
+	to = startTransport(t, "b", handler, nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
 	path, err := fake.NewPath(to.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -80,46 +82,50 @@
 	return from, path, to
 }
 
-func isConnected(l *Transport, site string) bool {
-	gates := l.gatewaysInOrder(site)
-	return len(gates) > 0 && gates[0].pickSession() != nil
+// isConnected reports whether the first gateway of a site has a session that can take requests.
+func isConnected(transport *Transport, site string) bool {
+	gateways := transport.gatewaysInOrder(site)
+	return len(gateways) > 0 && gateways[0].pickSession() != nil
 }
 
-func awaitConnected(t testing.TB, l *Transport) {
+func awaitConnected(t testing.TB, transport *Transport) {
 	t.Helper()
-	lbtest.Until(t, "site b is connected", func() bool { return isConnected(l, "b") })
+	lbtest.Until(t, "site b is connected", func() bool { return isConnected(transport, "b") })
 }
 
-func forwardTo(l *Transport, site string, body int) ForwardResult {
+// forwardTo forwards a request with a body of the given size to a site.
+func forwardTo(transport *Transport, site string, bodySize int) ForwardResult {
 	ctx, cancel := context.WithTimeout(context.Background(), lbtest.Wait)
 	defer cancel()
-	return l.Forward(ctx, site, newRequest(body))
+	return transport.Forward(ctx, site, newRequest(bodySize))
 }
 
-func newRequest(body int) *Request {
-	return &Request{TimeLeft: lbtest.Wait.Microseconds(), Class: "c", VisitedSites: []string{"a"}, Method: "POST", Target: "/", Body: bytes.Repeat([]byte("x"), body)}
+func newRequest(bodySize int) *Request {
+	return &Request{TimeLeft: lbtest.Wait.Microseconds(), Class: "c", VisitedSites: []string{"a"}, Method: "POST", Target: "/", Body: bytes.Repeat([]byte("x"), bodySize)}
 }
 
-// awaitReconciled waits until both ends count the same and nothing is unsettled.
-func awaitReconciled(t testing.TB, l *Transport) (sums map[accounting.Outcome]uint64) {
+// awaitReconciled waits until no request is unsettled and the counters of both ends agree. It returns the number of sent
+// requests by outcome.
+func awaitReconciled(t testing.TB, transport *Transport) (sums map[accounting.Outcome]uint64) {
 	t.Helper()
-	var v SiteStatus
-	lbtest.Until(t, "both ends count the same", func() bool {
+	var status SiteStatus
+	lbtest.Until(t, "no request is unsettled and the counters of both ends agree", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), lbtest.Wait)
 		defer cancel()
-		v = l.Status(ctx, true)[0]
-		return v.Unsettled == 0 && v.LastError == "" && len(v.Differences) == 0 && v.SessionsCompared > 0
+		status = transport.Status(ctx, true)[0]
+		return status.Unsettled == 0 && status.LastError == "" && len(status.Differences) == 0 && status.SessionsCompared > 0
 	})
 	sums = map[accounting.Outcome]uint64{}
-	for _, s := range v.Sent {
-		sums[s.Outcome] += s.Count
+	for _, counter := range status.Sent {
+		sums[counter.Outcome] += counter.Count
 	}
 	return sums
 }
 
-// TestIdentity connects with all kinds of certificates: accepted is one of the right authority, valid now, of the expected
-// site. Files that are replaced while in use apply to the next connection, and unusable ones change nothing.
-func TestIdentity(t *testing.T) {
+// TestPeerCertificateIsVerifiedAndReloaded checks that a connection needs a certificate of the configured authority that is
+// valid now and names the expected site. Replaced certificate files apply to the next connection, and invalid ones leave
+// the certificate in use. A listener without TLS is allowed on loopback addresses only.
+func TestPeerCertificateIsVerifiedAndReloaded(t *testing.T) {
 	folder := t.TempDir()
 	good, err := fake.NewAuthority(folder, "good")
 	if err != nil {
@@ -132,236 +138,238 @@
 	files := func(name string) *Identity {
 		return &Identity{Certificate: filepath.Join(folder, name+".pem"), Key: filepath.Join(folder, name+".key"), Authority: good.File}
 	}
-	hour := time.Now().Add(time.Hour)
-	issue := func(by *fake.Authority, file, name string, until time.Time) *Identity {
-		if err := by.Issue(files(file).Certificate, files(file).Key, name, until); err != nil {
+	inOneHour := time.Now().Add(time.Hour)
+	issue := func(authority *fake.Authority, file, name string, until time.Time) *Identity {
+		if err := authority.Issue(files(file).Certificate, files(file).Key, name, until); err != nil {
 			t.Fatal(err)
 		}
 		return files(file)
 	}
 	var log lbtest.Log
-	b := startTransport(t, "b", newFakeHandler(nil), issue(good, "b", "b", hour), &log, Peer{"a", []string{"127.0.0.1:1"}}, Peer{"c", []string{"127.0.0.1:1"}})
-	for name, c := range map[string]struct {
-		id   *Identity
-		site string // that it greets as
-		to   string // the site that it expects
-		says string // in the other's log, or in the own status
+	b := startTransport(t, "b", newFakeHandler(nil), issue(good, "b", "b", inOneHour), &log, Peer{"a", []string{"127.0.0.1:1"}}, Peer{"c", []string{"127.0.0.1:1"}})
+	for name, test := range map[string]struct {
+		identity   *Identity
+		site       string // in the greeting of the client
+		peer       string // the site that the client expects to reach
+		wantReason string // in the log, or in the status of the client
 	}{
-		"unknown authority": {issue(other, "x1", "a", hour), "a", "b", "unknown authority"},
-		"expired":           {issue(good, "x2", "a", time.Now().Add(-time.Hour)), "a", "b", "expired"},
-		"of no peer":        {issue(good, "x3", "z", hour), "z", "b", "names no sala"},
-		"of another site":   {issue(good, "x4", "c", hour), "a", "b", "not that of sala"},
-		"other server name": {issue(good, "x5", "a", hour), "a", "c", "not c"},
+		"unknown authority":           {issue(other, "x1", "a", inOneHour), "a", "b", "unknown authority"},
+		"expired":                     {issue(good, "x2", "a", time.Now().Add(-time.Hour)), "a", "b", "expired"},
+		"site is not a peer":          {issue(good, "x3", "z", inOneHour), "z", "b", "names no sala"},
+		"certificate of another site": {issue(good, "x4", "c", inOneHour), "a", "b", "not that of sala"},
+		"other server name":           {issue(good, "x5", "a", inOneHour), "a", "c", "not c"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := startTransport(t, c.site, newFakeHandler(nil), c.id, &log, Peer{c.to, []string{b.Addr()}})
-			lbtest.Until(t, "the reason is reported", func() bool {
-				return log.Contains(c.says) || strings.Contains(l.Status(t.Context(), false)[0].LastError, c.says)
+			client := startTransport(t, test.site, newFakeHandler(nil), test.identity, &log, Peer{test.peer, []string{b.Addr()}})
+			lbtest.Until(t, "the log or the status has the expected reason", func() bool {
+				return log.Contains(test.wantReason) || strings.Contains(client.Status(t.Context(), false)[0].LastError, test.wantReason)
 			})
-			if isConnected(l, c.to) {
-				t.Error("connected")
+			if isConnected(client, test.peer) {
+				t.Error("connected with an invalid certificate")
 			}
-			if x := forwardTo(l, c.to, 1); x.Sent || x.Outcome != accounting.NeverRan {
-				t.Errorf("%+v", x)
+			if result := forwardTo(client, test.peer, 1); result.Sent || result.Outcome != accounting.NeverRan {
+				t.Errorf("forwarding without a session returned %+v, want not sent and never ran", result)
 			}
 		})
 	}
-	a := startTransport(t, "a", newFakeHandler(nil), issue(good, "a", "a", hour), &log, Peer{"b", []string{b.Addr()}})
+	a := startTransport(t, "a", newFakeHandler(nil), issue(good, "a", "a", inOneHour), &log, Peer{"b", []string{b.Addr()}})
 	awaitConnected(t, a)
-	// b's certificate becomes one that nobody can use, then one of a new authority that a knows by then.
+	// First the certificate file of b becomes invalid. Then it gets a certificate of another authority, which a trusts by
+	// then.
 	if err := os.WriteFile(files("b").Certificate, []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reconnect := func() {
-		s := a.gatewaysInOrder("b")[0].pickSession()
-		s.conn.Close()
-		lbtest.Until(t, "connected again", func() bool { n := a.gatewaysInOrder("b")[0].pickSession(); return n != nil && n != s })
+		previous := a.gatewaysInOrder("b")[0].pickSession()
+		previous.conn.Close()
+		lbtest.Until(t, "site a has a new session to site b", func() bool { next := a.gatewaysInOrder("b")[0].pickSession(); return next != nil && next != previous })
 	}
 	reconnect()
-	lbtest.Until(t, "the log says so", func() bool { return log.Contains("certificate in use is kept") })
-	both, err := os.ReadFile(good.File)
+	lbtest.Until(t, "the invalid certificate is logged", func() bool { return log.Contains("certificate in use is kept") })
+	goodCertificates, err := os.ReadFile(good.File)
 	if err != nil {
 		t.Fatal(err)
 	}
-	more, err := os.ReadFile(other.File)
+	otherCertificates, err := os.ReadFile(other.File)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(good.File, append(both, more...), 0o600); err != nil {
+	if err := os.WriteFile(good.File, append(goodCertificates, otherCertificates...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	issue(other, "b", "b", hour)
+	issue(other, "b", "b", inOneHour)
 	reconnect()
-	if x := forwardTo(a, "b", 10); x.Outcome != accounting.Served {
-		t.Errorf("%+v", x)
+	if result := forwardTo(a, "b", 10); result.Outcome != accounting.Served {
+		t.Errorf("request after the change of certificates: %+v, want served", result)
 	}
-	if by := a.gatewaysInOrder("b")[0].pickSession().conn.(*tls.Conn).ConnectionState().PeerCertificates[0].Issuer.CommonName; by != "other" {
-		t.Errorf("the certificate of %s is still in use", by)
+	if issuer := a.gatewaysInOrder("b")[0].pickSession().conn.(*tls.Conn).ConnectionState().PeerCertificates[0].Issuer.CommonName; issuer != "other" {
+		t.Errorf("site b uses a certificate issued by %s, want one issued by other", issuer)
 	}
 	if _, err := Start(Options{Site: "x", Listen: "0.0.0.0:0", Logger: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Error("a plain listener on all addresses")
+		t.Error("Start accepted a listener without TLS on all addresses")
 	}
 }
 
-// TestHeartbeatTimeout holds up a connection in one direction or both: it is noticed, what was in flight is settled once the
-// connection is back, and both ends count the same.
-func TestHeartbeatTimeout(t *testing.T) {
-	for name, held := range map[string][]fake.Direction{"there": {fake.ToServer}, "back": {fake.ToClient}, "both": {fake.ToServer, fake.ToClient}} {
+// TestBlockedConnectionTimesOutAndIsSettled blocks a connection in one direction or both. The heartbeat timeout ends the
+// session. The request in flight is settled after reconnecting, and the counters of both ends agree.
+func TestBlockedConnectionTimesOutAndIsSettled(t *testing.T) {
+	for name, blocked := range map[string][]fake.Direction{"requests blocked": {fake.ToServer}, "responses blocked": {fake.ToClient}, "both directions blocked": {fake.ToServer, fake.ToClient}} {
 		t.Run(name, func(t *testing.T) {
 			b := newFakeHandler(nil)
 			a, path, _ := connectTwoSites(t, b)
-			if x := forwardTo(a, "b", 10); x.Outcome != accounting.Served || string(x.Response.Body) != "xxxxxxxxxx" {
-				t.Fatalf("%+v", x)
+			if result := forwardTo(a, "b", 10); result.Outcome != accounting.Served || string(result.Response.Body) != "xxxxxxxxxx" {
+				t.Fatalf("request before the block: %+v, want served with its own body", result)
 			}
-			for _, d := range held {
-				path.Block(d, true)
+			for _, direction := range blocked {
+				path.Block(direction, true)
 			}
-			x := forwardTo(a, "b", 10) // ends with the session, long before its own time
-			if !x.Sent || x.Outcome != accounting.Pending {
-				t.Fatalf("%+v", x)
+			result := forwardTo(a, "b", 10) // ends with the session, long before its own timeout
+			if !result.Sent || result.Outcome != accounting.Pending {
+				t.Fatalf("request on the blocked connection: %+v, want sent and pending", result)
 			}
-			lbtest.Until(t, "noticed", func() bool { return a.Status(t.Context(), false)[0].State == "closed" })
-			if x := forwardTo(a, "b", 10); x.Sent {
-				t.Error("sent without a connection")
+			lbtest.Until(t, "site b is reported as closed", func() bool { return a.Status(t.Context(), false)[0].State == "closed" })
+			if result := forwardTo(a, "b", 10); result.Sent {
+				t.Error("a request was sent without a session")
 			}
-			for _, d := range held {
-				path.Block(d, false)
+			for _, direction := range blocked {
+				path.Block(direction, false)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
 			defer cancel()
-			got, came := a.Settle(ctx, x), b.requestCount.Load()
-			if want := map[bool]accounting.Outcome{true: accounting.NeverArrived, false: accounting.Served}[came == 1]; got != want {
-				t.Errorf("settled as %v with %d calls come", got, came)
+			got, requestCount := a.Settle(ctx, result), b.requestCount.Load()
+			if want := map[bool]accounting.Outcome{true: accounting.NeverArrived, false: accounting.Served}[requestCount == 1]; got != want {
+				t.Errorf("settled as %v after %d requests were received", got, requestCount)
 			}
-			if again := a.Settle(ctx, x); again != got {
-				t.Errorf("settled again as %v", again)
+			if again := a.Settle(ctx, result); again != got {
+				t.Errorf("a second Settle returned %v", again)
 			}
 			awaitReconciled(t, a)
-			if b.requestCount.Load() != came {
-				t.Error("it arrived after it was reported as never arrived")
+			if b.requestCount.Load() != requestCount {
+				t.Error("a request arrived after it was settled")
 			}
 		})
 	}
 }
 
-// TestConnectionCutAtAnyByte cuts connections at any byte of a request or its response: what was in flight is settled with
-// the right outcome, and what is reported as never arrived does not run.
-func TestConnectionCutAtAnyByte(t *testing.T) {
+// TestOutcomeIsCorrectAfterConnectionIsCut cuts connections at various bytes of a request or its response. The request in
+// flight is settled with the outcome that it had, and a request reported as never arrived does not run.
+func TestOutcomeIsCorrectAfterConnectionIsCut(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]bool{}
-	b := newFakeHandler(func(_ context.Context, c *Request) *Response {
+	b := newFakeHandler(func(_ context.Context, request *Request) *Response {
 		mu.Lock()
 		defer mu.Unlock()
-		ran[c.Key] = true
-		return &Response{Outcome: accounting.Served, Status: 200, Body: c.Body}
+		ran[request.Key] = true
+		return &Response{Outcome: accounting.Served, Status: 200, Body: request.Body}
 	})
 	a, path, _ := connectTwoSites(t, b)
 	reported := map[accounting.Outcome]int{}
 	for i := range 60 {
 		awaitConnected(t, a)
-		d := fake.ToServer
+		direction := fake.ToServer
 		if i%2 == 1 {
-			d = fake.ToClient
+			direction = fake.ToClient
 		}
-		path.CutAfter(d, int64(i/2*90))
-		c := newRequest(2000)
-		c.Key = fmt.Sprint("k", i)
+		path.CutAfter(direction, int64(i/2*90))
+		request := newRequest(2000)
+		request.Key = fmt.Sprint("k", i)
 		ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
-		x := a.Forward(ctx, "b", c)
-		path.CutAfter(d, -1)
-		o := a.Settle(ctx, x)
+		result := a.Forward(ctx, "b", request)
+		path.CutAfter(direction, -1)
+		outcome := a.Settle(ctx, result)
 		cancel()
-		reported[o]++
+		reported[outcome]++
 		mu.Lock()
-		if ran[c.Key] == o.ProvesNothingRan() {
-			t.Errorf("cut %d: ran %v, reported %v", i, ran[c.Key], o)
+		if ran[request.Key] == outcome.ProvesNothingRan() {
+			t.Errorf("cut %d: the request ran: %v, outcome: %v", i, ran[request.Key], outcome)
 		}
 		mu.Unlock()
 	}
 	sums := awaitReconciled(t, a)
 	if reported[accounting.Served] < 5 || reported[accounting.NeverArrived] < 5 || sums[accounting.Served] != uint64(reported[accounting.Served]) {
-		t.Errorf("reported %v, counted %v", reported, sums)
+		t.Errorf("outcomes reported %v, counted %v; want at least 5 served and 5 never arrived, and equal numbers served", reported, sums)
 	}
 }
 
-// TestPeerRestart replaces the other gateway by another process while requests are in flight: their outcome is reported as
-// unknown (may have run), and new requests go to the new process.
-func TestPeerRestart(t *testing.T) {
-	hang := make(chan struct{})
-	defer close(hang)
+// TestPeerRestartSettlesRequestsAsMayHaveRun replaces the remote gateway by a new process while a request is in flight. The
+// new process does not know its outcome, so the request is settled as "may have run". New requests go to the new process.
+func TestPeerRestartSettlesRequestsAsMayHaveRun(t *testing.T) {
+	unblock := make(chan struct{})
+	defer close(unblock)
 	b := newFakeHandler(func(context.Context, *Request) *Response {
-		<-hang // no answer leaves the process that ends
+		<-unblock // the old process never answers
 		return &Response{Outcome: accounting.Served}
 	})
-	a, path, old := connectTwoSites(t, b)
-	out := make(chan ForwardResult, 1)
-	go func() { out <- forwardTo(a, "b", 1) }()
+	a, path, previous := connectTwoSites(t, b)
+	results := make(chan ForwardResult, 1)
+	go func() { results <- forwardTo(a, "b", 1) }()
 	lbtest.Until(t, "the request is in flight", func() bool { return b.requestCount.Load() == 1 })
-	fresh := startTransport(t, "b", newFakeHandler(nil), nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
-	path.SetTarget(fresh.Addr())
-	old.Close()
-	x := <-out
+	restarted := startTransport(t, "b", newFakeHandler(nil), nil, io.Discard, Peer{"a", []string{"127.0.0.1:1"}})
+	path.SetTarget(restarted.Addr())
+	previous.Close()
+	result := <-results
 	ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
 	defer cancel()
-	if o := a.Settle(ctx, x); o != accounting.MayHaveRun {
-		t.Errorf("settled as %v", o)
+	if outcome := a.Settle(ctx, result); outcome != accounting.MayHaveRun {
+		t.Errorf("settled as %v, want may have run", outcome)
 	}
 	awaitConnected(t, a)
-	if x := forwardTo(a, "b", 1); x.Outcome != accounting.Served {
-		t.Errorf("%+v", x)
+	if result := forwardTo(a, "b", 1); result.Outcome != accounting.Served {
+		t.Errorf("request to the new process: %+v, want served", result)
 	}
 }
 
-// TestDrain shuts down gracefully: what is in flight is answered, and nothing is lost.
-func TestDrain(t *testing.T) {
+// TestDrainCompletesRequestsInFlight checks that requests in flight are answered during a graceful shutdown.
+func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
-	b := newFakeHandler(func(ctx context.Context, c *Request) *Response {
+	b := newFakeHandler(func(ctx context.Context, request *Request) *Response {
 		<-release
 		return &Response{Outcome: accounting.Served, Status: 200}
 	})
-	a, _, to := connectTwoSites(t, b)
-	out := make(chan ForwardResult, 8)
-	for range cap(out) {
-		go func() { out <- forwardTo(a, "b", 1) }()
-	}
-	lbtest.Until(t, "all are in flight", func() bool { return b.requestCount.Load() == int64(cap(out)) })
-	done := make(chan struct{})
-	go func() { to.Drain(time.Now().Add(lbtest.Wait)); close(done) }()
-	lbtest.Until(t, "the connection is retired", func() bool { return !isConnected(a, "b") })
+	a, _, drained := connectTwoSites(t, b)
+	results := make(chan ForwardResult, 8)
+	for range cap(results) {
+		go func() { results <- forwardTo(a, "b", 1) }()
+	}
+	lbtest.Until(t, "all requests are in flight", func() bool { return b.requestCount.Load() == int64(cap(results)) })
+	drainEnded := make(chan struct{})
+	go func() { drained.Drain(time.Now().Add(lbtest.Wait)); close(drainEnded) }()
+	lbtest.Until(t, "site a has no session to site b in use", func() bool { return !isConnected(a, "b") })
 	close(release)
-	for range cap(out) {
-		if x := <-out; x.Outcome != accounting.Served {
-			t.Errorf("%+v", x)
+	for range cap(results) {
+		if result := <-results; result.Outcome != accounting.Served {
+			t.Errorf("request in flight while draining: %+v, want served", result)
 		}
 	}
-	<-done
+	<-drainEnded
 }
 
-// TestSmallRequestBesideLargeOnes sends large bodies over a narrow path: they do not hold up a small request after them.
-func TestSmallRequestBesideLargeOnes(t *testing.T) {
+// TestSmallRequestIsNotDelayedByLargeOnes sends 60 large requests over a path of 8 MiB/s and then a small one. The small
+// request must be served before more than 45 of the large ones are.
+func TestSmallRequestIsNotDelayedByLargeOnes(t *testing.T) {
 	a, path, _ := connectTwoSites(t, newFakeHandler(nil))
 	path.Shape(0, 0, 8<<20)
-	var large atomic.Int64
-	var all sync.WaitGroup
+	var largeServed atomic.Int64
+	var largeRequests sync.WaitGroup
 	for range 60 {
-		all.Go(func() {
-			if x := forwardTo(a, "b", 60<<10); x.Outcome != accounting.Served {
-				t.Errorf("%+v", x)
+		largeRequests.Go(func() {
+			if result := forwardTo(a, "b", 60<<10); result.Outcome != accounting.Served {
+				t.Errorf("large request: %+v, want served", result)
 			}
-			large.Add(1)
+			largeServed.Add(1)
 		})
 	}
-	lbtest.Until(t, "the large ones are in transit", func() bool { return path.Bytes(fake.ToServer) > 100<<10 })
-	if x := forwardTo(a, "b", 10); x.Outcome != accounting.Served {
-		t.Errorf("%+v", x)
+	lbtest.Until(t, "over 100 KiB of the large requests have been sent", func() bool { return path.Bytes(fake.ToServer) > 100<<10 })
+	if result := forwardTo(a, "b", 10); result.Outcome != accounting.Served {
+		t.Errorf("small request: %+v, want served", result)
 	}
-	if n := large.Load(); n > 45 {
-		t.Errorf("the small one was served after %d large ones", n)
+	if served := largeServed.Load(); served > 45 {
+		t.Errorf("the small request was served after %d large ones, want at most 45", served)
 	}
-	all.Wait()
+	largeRequests.Wait()
 }
 
-// rawClient is a peer that writes HTTP/2 frames itself.
+// rawClient is a fake peer that writes HTTP/2 frames directly.
 type rawClient struct {
 	net.Conn
 	*http2.Framer
@@ -370,232 +378,236 @@
 	headerBlock bytes.Buffer
 }
 
-func newRawClient(t testing.TB, addr string) *rawClient {
+// newRawClient connects to an address and sends the HTTP/2 client preface and settings.
+func newRawClient(t testing.TB, address string) *rawClient {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(lbtest.Wait))
-	io.WriteString(c, http2.ClientPreface)
-	r := &rawClient{Conn: c, Framer: http2.NewFramer(c, c), t: t}
-	r.encoder = hpack.NewEncoder(&r.headerBlock)
-	r.WriteSettings()
-	return r
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(lbtest.Wait))
+	io.WriteString(conn, http2.ClientPreface)
+	client := &rawClient{Conn: conn, Framer: http2.NewFramer(conn, conn), t: t}
+	client.encoder = hpack.NewEncoder(&client.headerBlock)
+	client.WriteSettings()
+	return client
 }
 
+// writeRequestHeaders opens a stream with a POST request to a path.
 func (r *rawClient) writeRequestHeaders(stream uint32, path string) {
 	r.headerBlock.Reset()
-	for _, f := range [][2]string{{":method", "POST"}, {":scheme", "https"}, {":authority", "b"}, {":path", path}} {
-		r.encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
+	for _, field := range [][2]string{{":method", "POST"}, {":scheme", "https"}, {":authority", "b"}, {":path", path}} {
+		r.encoder.WriteField(hpack.HeaderField{Name: field[0], Value: field[1]})
 	}
 	r.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: r.headerBlock.Bytes(), EndHeaders: true})
 }
 
-// readStream reads until the connection or a stream ends, and returns the data that came.
-func (r *rawClient) readStream() (text string) {
+// readStream reads until the connection or any stream ends, and returns the data received.
+func (r *rawClient) readStream() (data string) {
 	for {
-		f, err := r.ReadFrame()
+		frame, err := r.ReadFrame()
 		if err != nil {
-			return text
+			return data
 		}
-		switch f := f.(type) {
+		switch frame := frame.(type) {
 		case *http2.DataFrame:
-			text += string(f.Data())
-			if f.StreamEnded() {
-				return text
+			data += string(frame.Data())
+			if frame.StreamEnded() {
+				return data
 			}
 		}
 	}
 }
 
-// TestInvalidClient connects with unknown versions, requests before a greeting, garbage, more data than the window allows
-// and repeated numbers. Each fails alone.
-func TestInvalidClient(t *testing.T) {
+// TestInvalidClientDoesNotAffectOthers connects clients that offer unsupported versions, send requests before the greeting,
+// send malformed messages, exceed the flow-control window or repeat a request number. Each is rejected, and a valid client is
+// still served. Unknown fields of a later version are ignored.
+func TestInvalidClientDoesNotAffectOthers(t *testing.T) {
 	b := newFakeHandler(nil)
 	a, _, to := connectTwoSites(t, b)
-	greet := func(r *rawClient, h any) string {
-		text, err := encode(h)
+	greet := func(client *rawClient, message any) string {
+		data, err := encode(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.writeRequestHeaders(1, pathHello)
-		r.WriteData(1, true, text)
-		got := r.readStream()
+		client.writeRequestHeaders(1, pathHello)
+		client.WriteData(1, true, data)
+		got := client.readStream()
 		return got
 	}
 	t.Run("unknown version", func(t *testing.T) {
 		if got := greet(newRawClient(t, to.Addr()), &helloRequest{OldestVersion: 2, NewestVersion: 9, Site: "a", ToSite: "b", SessionID: 1}); !strings.Contains(got, "not spoken here") {
-			t.Errorf("%q", got)
+			t.Errorf("response to an unsupported version is %q, want a rejection", got)
 		}
 	})
 	t.Run("later version with unknown fields", func(t *testing.T) {
-		r := newRawClient(t, to.Addr())
-		got := greet(r, map[string]any{"o": 1, "w": 7, "f": "a", "t": "b", "p": 5, "s": 77, "new": map[string]int{"x": 1}})
-		var w helloResponse
-		if err := decode(strings.NewReader(got), &w); err != nil || w.Version != 1 || w.Error != "" {
-			t.Fatalf("%v %+v", err, w)
+		client := newRawClient(t, to.Addr())
+		got := greet(client, map[string]any{"o": 1, "w": 7, "f": "a", "t": "b", "p": 5, "s": 77, "new": map[string]int{"x": 1}})
+		var welcome helloResponse
+		if err := decode(strings.NewReader(got), &welcome); err != nil || welcome.Version != 1 || welcome.Error != "" {
+			t.Fatalf("greeting of a later version: error %v, response %+v; want version 1", err, welcome)
 		}
-		text, _ := encode(map[string]any{"n": 1, "l": int64(1e6), "k": "c", "b": []string{"a"}, "q": "POST", "g": "/", "h": "x", "r": 99, "later": []int{1}})
-		r.writeRequestHeaders(3, pathCall)
-		r.WriteData(3, true, text)
-		got = r.readStream()
-		var a Response
-		if err := decode(strings.NewReader(got), &a); err != nil || a.Outcome != accounting.Served {
-			t.Errorf("%v %+v", err, a)
+		data, _ := encode(map[string]any{"n": 1, "l": int64(1e6), "k": "c", "b": []string{"a"}, "q": "POST", "g": "/", "h": "x", "r": 99, "later": []int{1}})
+		client.writeRequestHeaders(3, pathCall)
+		client.WriteData(3, true, data)
+		got = client.readStream()
+		var response Response
+		if err := decode(strings.NewReader(got), &response); err != nil || response.Outcome != accounting.Served {
+			t.Errorf("request with unknown fields: error %v, response %+v; want served", err, response)
 		}
 		before := b.requestCount.Load()
-		r.writeRequestHeaders(5, pathCall) // the same number again
-		r.WriteData(5, true, text)
-		if r.readStream(); b.requestCount.Load() != before {
-			t.Error("one number ran twice")
+		client.writeRequestHeaders(5, pathCall) // the same request number again
+		client.WriteData(5, true, data)
+		if client.readStream(); b.requestCount.Load() != before {
+			t.Error("a request with a repeated number ran")
 		}
 	})
 	t.Run("not greeted", func(t *testing.T) {
-		r := newRawClient(t, to.Addr())
+		client := newRawClient(t, to.Addr())
 		before := b.requestCount.Load()
-		text, _ := encode(newRequest(1))
-		r.writeRequestHeaders(1, pathCall)
-		r.WriteData(1, true, text)
-		if got := r.readStream(); !strings.Contains(got, "not greeted") || b.requestCount.Load() != before {
-			t.Errorf("%q", got)
+		data, _ := encode(newRequest(1))
+		client.writeRequestHeaders(1, pathCall)
+		client.WriteData(1, true, data)
+		if got := client.readStream(); !strings.Contains(got, "not greeted") || b.requestCount.Load() != before {
+			t.Errorf("response to a request before the greeting is %q, want a rejection", got)
 		}
 	})
 	t.Run("garbage", func(t *testing.T) {
-		r := newRawClient(t, to.Addr())
-		r.writeRequestHeaders(1, pathHello)
-		r.WriteData(1, true, []byte("\xff\xff\xff\xff\x00garbage"))
-		if got := r.readStream(); !strings.Contains(got, "link:") {
-			t.Errorf("%q", got)
+		client := newRawClient(t, to.Addr())
+		client.writeRequestHeaders(1, pathHello)
+		client.WriteData(1, true, []byte("\xff\xff\xff\xff\x00garbage"))
+		if got := client.readStream(); !strings.Contains(got, "link:") {
+			t.Errorf("response to a malformed greeting is %q, want an error", got)
 		}
 	})
 	t.Run("more data than the window", func(t *testing.T) {
-		r, before := newRawClient(t, to.Addr()), b.requestCount.Load()
-		r.writeRequestHeaders(1, pathCall)
+		client, before := newRawClient(t, to.Addr()), b.requestCount.Load()
+		client.writeRequestHeaders(1, pathCall)
 		for range 400 {
-			if r.WriteData(1, false, make([]byte, 16<<10)) != nil {
+			if client.WriteData(1, false, make([]byte, 16<<10)) != nil {
 				break
 			}
 		}
-		if text := r.readStream(); strings.Contains(text, "served") || b.requestCount.Load() != before {
-			t.Errorf("accepted: %q", text)
+		if data := client.readStream(); strings.Contains(data, "served") || b.requestCount.Load() != before {
+			t.Errorf("data beyond the window was accepted, response %q", data)
 		}
 	})
-	if x := forwardTo(a, "b", 1); x.Outcome != accounting.Served {
-		t.Errorf("the valid client: %+v", x)
+	if result := forwardTo(a, "b", 1); result.Outcome != accounting.Served {
+		t.Errorf("request of the valid client: %+v, want served", result)
 	}
 }
 
-// TestInvalidServer connects to a gateway that answers what nobody asked, or nonsense: the outcome is that the request may
-// have run.
-func TestInvalidServer(t *testing.T) {
-	for name, answer := range map[string]func(f *http2.Framer, stream uint32){
-		"response to an unknown stream": func(f *http2.Framer, stream uint32) {
-			var buf bytes.Buffer
-			hpack.NewEncoder(&buf).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: stream + 100, BlockFragment: buf.Bytes(), EndHeaders: true})
+// TestInvalidResponseIsSettledAsMayHaveRun connects to a gateway whose response belongs to no stream or cannot be decoded. The
+// request is settled as "may have run" and is not sent again.
+func TestInvalidResponseIsSettledAsMayHaveRun(t *testing.T) {
+	for name, writeResponse := range map[string]func(framer *http2.Framer, stream uint32){
+		"response to an unknown stream": func(framer *http2.Framer, stream uint32) {
+			var headerBlock bytes.Buffer
+			hpack.NewEncoder(&headerBlock).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
+			framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream + 100, BlockFragment: headerBlock.Bytes(), EndHeaders: true})
 		},
-		"undecodable response": func(f *http2.Framer, stream uint32) {
-			var buf bytes.Buffer
-			hpack.NewEncoder(&buf).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: buf.Bytes(), EndHeaders: true})
-			f.WriteData(stream, true, []byte("nonsense"))
+		"undecodable response": func(framer *http2.Framer, stream uint32) {
+			var headerBlock bytes.Buffer
+			hpack.NewEncoder(&headerBlock).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
+			framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: headerBlock.Bytes(), EndHeaders: true})
+			framer.WriteData(stream, true, []byte("nonsense"))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := lbtest.Listen(t)
-			var calls atomic.Int64
+			listener := lbtest.Listen(t)
+			var callCount atomic.Int64
 			go func() {
 				for {
-					c, err := l.Accept()
+					conn, err := listener.Accept()
 					if err != nil {
 						return
 					}
-					go serveInvalidResponses(c, &calls, answer)
+					go serveInvalidResponses(conn, &callCount, writeResponse)
 				}
 			}()
-			a := startTransport(t, "a", newFakeHandler(nil), nil, io.Discard, Peer{"b", []string{l.Addr().String()}})
+			a := startTransport(t, "a", newFakeHandler(nil), nil, io.Discard, Peer{"b", []string{listener.Addr().String()}})
 			awaitConnected(t, a)
-			soon, cancel := context.WithTimeout(t.Context(), time.Second) // an answer to nothing is passed over
-			x := a.Forward(soon, "b", newRequest(1))
+			soon, cancel := context.WithTimeout(t.Context(), time.Second) // a response on an unknown stream is ignored
+			result := a.Forward(soon, "b", newRequest(1))
 			cancel()
-			if x.Outcome.ProvesNothingRan() || x.Outcome == accounting.Served {
-				t.Errorf("%+v", x)
+			if result.Outcome.ProvesNothingRan() || result.Outcome == accounting.Served {
+				t.Errorf("request with an invalid response: %+v, want an outcome that does not rule out that it ran", result)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
 			defer cancel()
-			if o := a.Settle(ctx, x); o != accounting.MayHaveRun || calls.Load() != 1 {
-				t.Errorf("%v, %d calls", o, calls.Load())
+			if outcome := a.Settle(ctx, result); outcome != accounting.MayHaveRun || callCount.Load() != 1 {
+				t.Errorf("settled as %v after %d calls, want may have run after 1", outcome, callCount.Load())
 			}
 		})
 	}
 }
 
-// serveInvalidResponses greets and answers heartbeats as a gateway does, and requests with answer.
-func serveInvalidResponses(c net.Conn, calls *atomic.Int64, answer func(*http2.Framer, uint32)) {
-	defer c.Close()
-	io.ReadFull(c, make([]byte, len(http2.ClientPreface)))
-	f := http2.NewFramer(c, c)
-	f.WriteSettings()
+// serveInvalidResponses accepts the greeting and answers heartbeats like a gateway, and calls writeResponse for each forwarded
+// request. It claims not to know any session that is to be settled.
+func serveInvalidResponses(conn net.Conn, callCount *atomic.Int64, writeResponse func(*http2.Framer, uint32)) {
+	defer conn.Close()
+	io.ReadFull(conn, make([]byte, len(http2.ClientPreface)))
+	framer := http2.NewFramer(conn, conn)
+	framer.WriteSettings()
 	paths := map[uint32]string{}
-	dec := hpack.NewDecoder(4096, nil)
-	f.ReadMetaHeaders = dec
+	decoder := hpack.NewDecoder(4096, nil)
+	framer.ReadMetaHeaders = decoder
 	for {
-		frame, err := f.ReadFrame()
+		frame, err := framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		switch g := frame.(type) {
+		switch frame := frame.(type) {
 		case *http2.SettingsFrame:
-			if !g.IsAck() {
-				f.WriteSettingsAck()
+			if !frame.IsAck() {
+				framer.WriteSettingsAck()
 			}
 		case *http2.MetaHeadersFrame:
-			paths[g.StreamID] = g.PseudoValue("path")
+			paths[frame.StreamID] = frame.PseudoValue("path")
 		case *http2.DataFrame:
-			if !g.StreamEnded() {
+			if !frame.StreamEnded() {
 				continue
 			}
-			var said any
-			switch paths[g.StreamID] {
+			var response any
+			switch paths[frame.StreamID] {
 			case pathHello:
-				said = &helloResponse{Version: 1, ProcessID: uint64(time.Now().UnixNano())}
+				response = &helloResponse{Version: 1, ProcessID: uint64(time.Now().UnixNano())}
 			case pathState:
-				said = &heartbeat{State: forwarding.Available}
+				response = &heartbeat{State: forwarding.Available}
 			case pathSettle:
-				said = &settleResponse{}
+				response = &settleResponse{}
 			case pathCall:
-				calls.Add(1)
-				answer(f, g.StreamID)
+				callCount.Add(1)
+				writeResponse(framer, frame.StreamID)
 				continue
 			}
-			text, _ := encode(said)
-			var buf bytes.Buffer
-			hpack.NewEncoder(&buf).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: g.StreamID, BlockFragment: buf.Bytes(), EndHeaders: true})
-			f.WriteData(g.StreamID, true, text)
+			data, _ := encode(response)
+			var headerBlock bytes.Buffer
+			hpack.NewEncoder(&headerBlock).WriteField(hpack.HeaderField{Name: ":status", Value: "200"})
+			framer.WriteHeaders(http2.HeadersFrameParam{StreamID: frame.StreamID, BlockFragment: headerBlock.Bytes(), EndHeaders: true})
+			framer.WriteData(frame.StreamID, true, data)
 		}
 	}
 }
 
-// FuzzDecode decodes any bytes: nothing panics, and what is decoded is in its bounds.
+// FuzzDecode decodes arbitrary bytes. Decoding must not panic, and decoded messages must be within their limits.
 func FuzzDecode(f *testing.F) {
-	for _, m := range []any{newRequest(3), &Response{Outcome: accounting.Served, Status: 200, Header: http.Header{"X": {"y"}}}, &helloRequest{OldestVersion: 1, NewestVersion: 1, SessionID: 1}} {
-		text, err := encode(m)
+	for _, message := range []any{newRequest(3), &Response{Outcome: accounting.Served, Status: 200, Header: http.Header{"X": {"y"}}}, &helloRequest{OldestVersion: 1, NewestVersion: 1, SessionID: 1}} {
+		data, err := encode(message)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(text)
+		f.Add(data)
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		var c Request
-		if decode(bytes.NewReader(text), &c) == nil && (len(c.VisitedSites) == 0 || c.Target[0] != '/' || !c.Reason.IsValid() || c.Effect > 2) {
-			t.Errorf("%+v", c)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		var request Request
+		if decode(bytes.NewReader(data), &request) == nil && (len(request.VisitedSites) == 0 || request.Target[0] != '/' || !request.Reason.IsValid() || request.Effect > 2) {
+			t.Errorf("decoded a request out of its limits: %+v", request)
 		}
-		var a Response
-		if decode(bytes.NewReader(text), &a) == nil && (a.Outcome == accounting.Pending || a.Outcome > accounting.MayHaveRun) {
-			t.Errorf("%+v", a)
+		var response Response
+		if decode(bytes.NewReader(data), &response) == nil && (response.Outcome == accounting.Pending || response.Outcome > accounting.MayHaveRun) {
+			t.Errorf("decoded a response with an invalid outcome: %+v", response)
 		}
 	})
 }
