--- a/internal/sites/peering/connection.go
+++ b/internal/sites/peering/connection.go
@@ -18,7 +18,7 @@
 	overloadRetryAfter = 100 * time.Millisecond
 	// settleWait is how long settle waits for requests that are still in flight. After it they are reported as pending.
 	settleWait         = 20 * time.Millisecond
-	settlePollInterval = time.Millisecond // between two looks at the outcomes within settleWait
+	settlePollInterval = time.Millisecond // between two checks of the outcomes
 )
 
 // connection is an http.Handler that serves the messages of one accepted connection.
@@ -102,7 +102,7 @@
 	return handler(message)
 }
 
-// greet opens the connection's session, of which a connection has only one. The response to a rejected greeting states
+// greet opens the connection's session. A connection has at most one session. The response to a rejected greeting states
 // the reason.
 func (c *connection) greet(request *helloRequest) (any, error) {
 	t := c.server.transport
--- a/internal/sites/peering/gateway.go
+++ b/internal/sites/peering/gateway.go
@@ -160,7 +160,7 @@
 func (g *gateway) lookup(ctx context.Context, id idempotency.KeyID) (KeyLocation, error) {
 	s := g.pickSession()
 	if s == nil {
-		return KeyLocation{}, fmt.Errorf("link: no session to site %s at %s for the key lookup", g.site, g.address)
+		return KeyLocation{}, fmt.Errorf("link: %s at %s is out of reach", g.site, g.address)
 	}
 	var location KeyLocation
 	err := s.request(ctx, pathLookup, &lookupRequest{ID: id}, &location)
@@ -209,7 +209,7 @@
 	sessions := g.allSessions()
 	current := g.pickSession()
 	if current == nil {
-		return nil, 0, fmt.Errorf("link: no session to site %s: counters could not be compared", g.site)
+		return nil, 0, fmt.Errorf("link: %s is out of reach: nothing could be compared", g.site)
 	}
 	var request countersRequest
 	for _, s := range sessions {
--- a/internal/sites/peering/inbound.go
+++ b/internal/sites/peering/inbound.go
@@ -26,7 +26,7 @@
 	receiver  *accounting.Receiver
 	delay     forwarding.DelayEstimator
 	roundTrip time.Duration // measured by the sender
-	inFlight  int           // admitted requests without a recorded outcome
+	inFlight  int           // requests being served, without those over the limit
 	connected bool
 }
 
--- a/internal/sites/peering/server.go
+++ b/internal/sites/peering/server.go
@@ -24,7 +24,10 @@
 	// of 30 ms it allows 17 MB/s.
 	connectionWindowBytes = 512 << 10
 
-	idleTimeout        = 2 * time.Second       // without a frame before a ping is sent, for the reply to it, and for a write
+	// idleTimeout limits three waits on a connection: for a frame before a ping is sent, for the response to the ping, and
+	// for progress of a write.
+	idleTimeout = 2 * time.Second
+
 	sessionIdleTimeout = time.Minute           // after which a connection without streams is closed
 	acceptBackoff      = 20 * time.Millisecond // after an error of Accept
 	drainPollInterval  = 10 * time.Millisecond // between two checks for open connections while draining
--- a/internal/sites/peering/session.go
+++ b/internal/sites/peering/session.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	maxErrorBytes = 1024 // of an error response that are read for the error text
+	maxErrorBytes = 1024 // limit on the bytes read from an error response
 )
 
-// The errors that end a session.
+// The errors that end a session. The status of the link contains their texts.
 var (
-	errConnectionBroken = errors.New("link: connection closed")
-	errHeartbeatTimeout = errors.New("link: heartbeat timed out without any response")
-	errPeerDraining     = errors.New("link: the remote gateway is draining the connection")
+	errConnectionBroken = errors.New("the connection has broken")
+	errHeartbeatTimeout = errors.New("no answer to a heartbeat in time")
+	errPeerDraining     = errors.New("the other end asks for a new connection")
 )
 
 // session is the sending end of one connection to a remote gateway, with the accounting of the requests forwarded on it.
@@ -84,7 +84,7 @@
 	secured := tls.Client(conn, g.transport.credentials.clientConfig(g.site))
 	if err := secured.HandshakeContext(ctx); err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("link: TLS handshake: %w", err)
+		return nil, fmt.Errorf("handshake: %w", err)
 	}
 	return secured, nil
 }
@@ -136,9 +136,9 @@
 	case err != nil:
 		return err
 	case response.Error != "":
-		return fmt.Errorf("link: the remote gateway rejected the greeting: %s", response.Error)
+		return fmt.Errorf("greeted with: %s", response.Error)
 	case response.Version < oldestVersion || response.Version > newestVersion:
-		return fmt.Errorf("link: the remote gateway selected protocol version %d, which is not supported", response.Version)
+		return fmt.Errorf("the other end speaks version %d", response.Version)
 	}
 	s.remoteProcess = response.ProcessID
 	return nil
@@ -251,7 +251,7 @@
 		return err
 	}
 	if len(payload) > maxMessageBytes {
-		return fmt.Errorf("link: message of %d bytes exceeds the limit of %d bytes", len(payload), maxMessageBytes)
+		return fmt.Errorf("link: a message of %d bytes, over %d", len(payload), maxMessageBytes)
 	}
 	body := &abortableReader{bytes.NewReader(payload), isDisconnected}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+s.gateway.site+path, body)
@@ -269,7 +269,7 @@
 	s.mu.Unlock()
 	if httpResponse.StatusCode != http.StatusOK {
 		detail, _ := io.ReadAll(io.LimitReader(httpResponse.Body, maxErrorBytes))
-		return fmt.Errorf("link: remote gateway responded with status %d %s", httpResponse.StatusCode, bytes.TrimSpace(detail))
+		return fmt.Errorf("link: answered with %d %s", httpResponse.StatusCode, bytes.TrimSpace(detail))
 	}
 	return decode(httpResponse.Body, response)
 }
--- a/internal/sites/peering/settle.go
+++ b/internal/sites/peering/settle.go
@@ -43,7 +43,7 @@
 		defer cancel()
 		request := &settleRequest{SessionID: other.id, SessionEnded: ended, Numbers: numbers}
 		if err := s.request(ctx, pathSettle, request, &response); err != nil {
-			return false, fmt.Errorf("link: settling request outcomes: %w", err)
+			return false, fmt.Errorf("settling: %w", err)
 		}
 	}
 	progress := other.resolve(numbers, response)
--- a/internal/sites/peering/transport.go
+++ b/internal/sites/peering/transport.go
@@ -125,7 +125,8 @@
 	t.updateSite(peer.Name)
 }
 
-// gatewaysInOrder returns the gateways of a site in the order in which they are tried for a request.
+// gatewaysInOrder returns the gateways of a site in the order in which they are tried for a request. If the site has several
+// gateways, disconnected ones are left out.
 func (t *Transport) gatewaysInOrder(site string) []*gateway {
 	t.mu.Lock()
 	all := slices.Clone(t.gateways[site])
@@ -243,12 +244,12 @@
 	}
 }
 
-// Lookup asks the gateways of a site what they know about an idempotency key. If several know it, the location with the
-// longest retry window is returned. It returns an error if no gateway knows the key and any lookup failed.
+// Lookup asks all connected gateways of a site what they know about an idempotency key. If several know it, the location with the
+// longest retry window is returned. Lookup returns an error if no gateway knows the key and any of them could not be asked.
 func (t *Transport) Lookup(ctx context.Context, site string, id idempotency.KeyID) (KeyLocation, error) {
 	gateways := t.gatewaysInOrder(site)
 	if len(gateways) == 0 {
-		return KeyLocation{}, fmt.Errorf("link: no reachable gateway of sala %q for the key lookup", site)
+		return KeyLocation{}, fmt.Errorf("link: no sala named %q within reach", site)
 	}
 	found := make([]KeyLocation, len(gateways))
 	errs := make([]error, len(gateways))
