--- a/bench/capacity/calls.go
+++ b/bench/capacity/calls.go
@@ -350,9 +350,9 @@
 	}
 	if strings.HasPrefix(variant, "ledger") {
 		r.add("fsyncs a call", float64(after.Syncs-before.Syncs)/n)
-		r.add("records a call", float64(after.Records-before.Records)/n)
+		r.add("records a call", float64(after.LastSeq-before.LastSeq)/n)
 		r.add("bytes written to the disk a call", float64(all[0].written()-written)/n)
-		r.add("answers that did not wait for their record", float64(after.LateAnswers-before.LateAnswers))
+		r.add("answers that did not wait for their record", float64(after.LateResponses-before.LateResponses))
 	}
 	resident, own := all[0].memory()
 	r.add("resident, MB", resident)
--- a/bench/capacity/tools.go
+++ b/bench/capacity/tools.go
@@ -48,7 +48,7 @@
 	var acts []version.Entry
 	for i := range n {
 		name := fmt.Sprint("c", i)
-		acts = append(acts, version.Entry{Kind: version.List, Name: name, Hash: version.HashOf([]byte(name))})
+		acts = append(acts, version.Entry{Kind: version.EndpointList, Name: name, Hash: version.HashOf([]byte(name))})
 	}
 	key := bytes.Repeat([]byte{3}, 32)
 	var hollow []*fleet.Fleet
--- a/bench/ledger/main.go
+++ b/bench/ledger/main.go
@@ -277,7 +277,7 @@
 	defer l.Close()
 	fmt.Printf("%d records of %d bytes in %d segments, one core: %v, %.2f million records a second, heap %.1f MB at the most (%.1f before), %d keys\n",
 		o.Records, size, files, took.Round(time.Millisecond), float64(o.Records)/took.Seconds()/1e6, float64(peak.Load())/1e6, float64(base.HeapInuse)/1e6,
-		l.Status().Recovered)
+		l.Status().RecoveredKeys)
 	return nil
 }
 
@@ -366,7 +366,7 @@
 			return err
 		}
 		o.measure("ledger, "+mode.String(), func(int) error {
-			return e.Attempt("portal-1", terms).Intent(context.Background(), idempotency.Place{Cluster: "portal", Zone: "sala-centro"})
+			return e.BeginAttempt("portal-1", terms).Intent(context.Background(), idempotency.Place{Cluster: "portal", Zone: "sala-centro"})
 		})
 		l.Close()
 	}
--- a/bench/scale/product.go
+++ b/bench/scale/product.go
@@ -22,7 +22,7 @@
 func (p *planeProcess) product() (machine, error) {
 	o := api.Options{Name: p.Name, Listen: p.Listen, Insecure: true, StateFile: p.State}
 	for name, address := range p.Peer {
-		o.Peers = append(o.Peers, api.Peer{Name: name, Plane: bootstrap.ControlPlane{Name: name, Address: address, Insecure: true}})
+		o.Peers = append(o.Peers, api.Peer{Name: name, ControlPlane: bootstrap.ControlPlane{Name: name, Address: address, Insecure: true}})
 	}
 	s, err := controlplane.Start(o, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	if err != nil {
--- a/cmd/silvertrail/control.go
+++ b/cmd/silvertrail/control.go
@@ -92,7 +92,7 @@
 	if !v.Ready {
 		state = "does not serve receivers yet"
 	}
-	fmt.Fprintf(out, "%s %s: %d clusters, %d endpoint sets, %d removed, the newest version is %d\n", v.Name, state, v.Clusters, v.Sets, v.Removed, v.Counter)
+	fmt.Fprintf(out, "%s %s: %d clusters, %d endpoint sets, %d removed, the newest version is %d\n", v.Name, state, v.Clusters, v.EndpointSets, v.Removed, v.Counter)
 	receivers, behind := 0, 0
 	for _, s := range v.Subscribers {
 		if !s.Peer {
--- a/cmd/silvertrail/ledger.go
+++ b/cmd/silvertrail/ledger.go
@@ -313,9 +313,9 @@
 	}
 	fmt.Printf("%s, mode %s: %s\n", v.Dir, v.Mode, state)
 	fmt.Printf("%d segments, %d bytes; %d requests since the start; %d fsyncs for %d records; %d errors of the disk\n", v.Segments, v.Bytes, v.Requests,
-		v.Syncs, v.SyncedRecords, v.Errors)
-	fmt.Printf("%d attempts sent without a record, %d records without room, %d answers before their record was safe\n", v.Unrecorded, v.Dropped, v.LateAnswers)
-	fmt.Printf("%d keys known from former processes\n", v.Recovered)
+		v.Syncs, v.SyncedRecords, v.DiskErrors)
+	fmt.Printf("%d attempts sent without a record, %d records without room, %d answers before their record was safe\n", v.UnrecordedAttempts, v.DroppedRecords, v.LateResponses)
+	fmt.Printf("%d keys known from former processes\n", v.RecoveredKeys)
 	if !v.UncertainUntil.IsZero() {
 		fmt.Printf("Records are lost (%d times): keys that are not known are held back until %s\n", v.Losses, v.UncertainUntil.Format(time.DateTime))
 	}
--- a/cmd/silvertrail/ledger_test.go
+++ b/cmd/silvertrail/ledger_test.go
@@ -150,7 +150,7 @@
 		for nodo, n := range nodos {
 			told := 0
 			for _, a := range q.Attempts {
-				if a.Intended && a.Endpoint == nodo {
+				if a.HasIntent && a.Endpoint == nodo {
 					told++
 				}
 			}
@@ -169,7 +169,7 @@
 		case status == 200 && (q == nil || q.Verdict() != requesthistory.Served && q.Verdict() != requesthistory.Executed): // the record of the answer itself may be lost
 			t.Errorf("%s was served: %+v", id, q)
 		case status == 503 && q != nil && q.Verdict() != requesthistory.Rejected: // its record may be lost where the process died just then
-			if cut++; q.Answered || cut > rounds {
+			if cut++; q.HasFinal || cut > rounds {
 				t.Errorf("%s was refused, and is called %v", id, q.Verdict())
 			}
 		case (status == 502 || status == 504) && q != nil && (q.Verdict() == requesthistory.Served || q.Verdict() == requesthistory.Rejected):
--- a/internal/balancer/engine/attempt.go
+++ b/internal/balancer/engine/attempt.go
@@ -23,7 +23,7 @@
 	server            *endpoint
 	pool              *upstream.Pool // connections to the address that the server had when the attempt was decided on
 	sentAt            time.Duration
-	receipt           upstream.Receipt
+	receipt           upstream.AttemptProgress
 	cancel            context.CancelFunc
 	firstByteSent     bool                 // the first byte was sent, or is about to be
 	ended             bool                 // the policy has been notified of the end, or is being notified
@@ -163,7 +163,7 @@
 	ctx, a.cancel = context.WithCancel(context.Background())
 	a.pool = a.server.pool
 	if c.key != nil && c.key.Recorder != nil {
-		a.record = c.key.Recorder.Attempt(a.server.name)
+		a.record = c.key.Recorder.BeginAttempt(a.server.name)
 	}
 	if c.request.Stream != nil && c.timeLeftAfterBody > 0 { // a server that waits for the rest of the client's body is not unresponsive
 		e.pendingEvents = append(e.pendingEvents, func(now time.Duration) { e.setDispatchPending(now, c, a, true) })
--- a/internal/balancer/engine/disconnect_test.go
+++ b/internal/balancer/engine/disconnect_test.go
@@ -38,7 +38,7 @@
 // blockedRecorder is a Recorder whose Intent waits at the gate, like a ledger with a slow disk.
 type blockedRecorder struct{ *gate }
 
-func (r blockedRecorder) Attempt(string) Record { return r }
+func (r blockedRecorder) BeginAttempt(string) Record { return r }
 
 func (r blockedRecorder) Intent(context.Context, idempotency.Place) error {
 	r.wait()
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	key := &Key{History: keyRequest, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}, Claimer: claimer, Recorder: recorder}
+	key := &Key{Request: keyRequest, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}, Claimer: claimer, Recorder: recorder}
 	r := upstream.Request{Method: "POST", Target: "/write", Host: "x", Header: map[string][]string{"X-Request-Id": {"left"}, "Idempotency-Key": {"k"}}}
 	return engine.begin(r, lbpolicy.Request{Class: 1, TimeLeft: lbtest.Wait}, key, isDisconnected), keyRequest
 }
--- a/internal/balancer/engine/key.go
+++ b/internal/balancer/engine/key.go
@@ -12,7 +12,7 @@
 
 // Key is the idempotency key of a request, with the means to claim it and to record the attempts.
 type Key struct {
-	History *idempotency.Request
+	Request *idempotency.Request
 	Cluster string // the cluster of this engine
 	Terms   idempotency.Terms
 	// Claimer claims the key for one place among all processes. Nil: there are no other processes.
@@ -25,8 +25,8 @@
 
 // Recorder records the attempts of a request. Neither a Recorder nor its Records may call the engine.
 type Recorder interface {
-	// Attempt begins the record of the next attempt, to the named endpoint.
-	Attempt(endpoint string) Record
+	// BeginAttempt begins the record of the next attempt, to the named endpoint.
+	BeginAttempt(endpoint string) Record
 }
 
 // Record is the record of one attempt.
@@ -51,7 +51,7 @@
 // keyState returns the state of a call's key, converted to the types of the policy.
 func (e *Engine) keyState(c *Call) lbpolicy.KeyState {
 	scope := c.key.Terms.Scope
-	known := c.key.History.KeyState(scope)
+	known := c.key.Request.KeyState(scope)
 	if c.key.needsClaim() {
 		known = known.Merge(c.key.Claimer.KeyState(), scope)
 	}
@@ -87,7 +87,7 @@
 		return true
 	}
 	var err error
-	a.keyAttempt, err = c.key.History.Send(time.Now(), e.place(c, a.server), c.key.Terms)
+	a.keyAttempt, err = c.key.Request.Reserve(time.Now(), e.place(c, a.server), c.key.Terms)
 	if errors.Is(err, idempotency.ErrHeldElsewhere) {
 		e.log.Info("attempt not sent", "endpoint", a.server.name, "error", err)
 	}
--- a/internal/balancer/engine/progress.go
+++ b/internal/balancer/engine/progress.go
@@ -22,21 +22,21 @@
 			if a.server.ID != id {
 				continue
 			}
-			progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.isReporting
+			progress.HasUnreadResponse = progress.HasUnreadResponse || a.isReporting
 			if a.isFinished() {
 				continue
 			}
-			progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.receipt.HasArrived()
-			if since := e.waitsSince(now, a); !a.isDispatchPending && (progress.WaitsSince == 0 || since < progress.WaitsSince) {
-				progress.WaitsSince = since
+			progress.HasUnreadResponse = progress.HasUnreadResponse || a.receipt.HasUnreadResponse()
+			if since := e.waitsSince(now, a); !a.isDispatchPending && (progress.WaitingSince == 0 || since < progress.WaitingSince) {
+				progress.WaitingSince = since
 			}
 		}
 	}
 	return progress
 }
 
-// WaitsSince implements lbpolicy.Host.
-func (e actions) WaitsSince(id lbpolicy.RequestID, number int) time.Duration {
+// WaitingSince implements lbpolicy.Host.
+func (e actions) WaitingSince(id lbpolicy.RequestID, number int) time.Duration {
 	c := e.calls[id]
 	if c == nil || number < 0 || number >= len(c.attempts) {
 		return 0
@@ -44,8 +44,8 @@
 	return e.waitsSince(e.clock.now(), c.attempts[number])
 }
 
-// Hedged implements lbpolicy.Host.
-func (e actions) Hedged(h lbpolicy.Hedge) {
+// RecordHedge implements lbpolicy.Host.
+func (e actions) RecordHedge(h lbpolicy.Hedge) {
 	e.hedges[h.Reason]++
 	c := e.calls[h.Request]
 	if c == nil {
@@ -58,7 +58,7 @@
 // waitsSince returns the time since which an attempt has been waiting for its endpoint. It returns now if the attempt is waiting for
 // this process.
 func (e *Engine) waitsSince(now time.Duration, a *attempt) time.Duration {
-	if since, waits := a.receipt.WaitsSince(); waits {
+	if since, waits := a.receipt.WaitingSince(); waits {
 		return e.clock.fromTime(since)
 	}
 	return now
--- a/internal/balancer/engine/progress_test.go
+++ b/internal/balancer/engine/progress_test.go
@@ -171,7 +171,7 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	for b.Loop() {
-		if (actions{engine}).ServerProgress(id).HasUnreadAnswer {
+		if (actions{engine}).ServerProgress(id).HasUnreadResponse {
 			b.Fatal("HasUnreadAnswer = true, but no response was sent")
 		}
 	}
--- a/internal/balancer/engine/resets_test.go
+++ b/internal/balancer/engine/resets_test.go
@@ -97,7 +97,7 @@
 							t.Fatal(err)
 						}
 						defer keyRequest.End()
-						key = &Key{History: keyRequest, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}}
+						key = &Key{Request: keyRequest, Terms: idempotency.Terms{Scope: lbpolicy.ScopeZone, Window: time.Minute, Retention: time.Minute}}
 					}
 					result := awaitResult(t, engine.Begin(upstream.Request{Method: "POST", Target: "/x", Host: "x", Header: map[string][]string{"X-Request-Id": {"one"}}},
 						lbpolicy.Request{Class: c.class, TimeLeft: lbtest.Wait}, key))
--- a/internal/balancer/idempotency/request.go
+++ b/internal/balancer/idempotency/request.go
@@ -31,8 +31,8 @@
 	return r.mayHaveRun || r.inFlight > 0
 }
 
-// Send reserves the key for an attempt that has been decided on. If it returns an error, the attempt must not be sent.
-func (r *Request) Send(now time.Time, to Place, terms Terms) (*Attempt, error) {
+// Reserve reserves the key for an attempt that has been decided on. If it returns an error, the attempt must not be sent.
+func (r *Request) Reserve(now time.Time, to Place, terms Terms) (*Attempt, error) {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	state := r.entry.keyState(terms.Scope, nil)
@@ -78,8 +78,8 @@
 	return !state.Known || now.Before(state.RetryUntil)
 }
 
-// OtherAttempts returns the state of the key without this attempt.
-func (a *Attempt) OtherAttempts() KeyState {
+// OtherAttemptsState returns the state of the key without this attempt.
+func (a *Attempt) OtherAttemptsState() KeyState {
 	a.table.mu.Lock()
 	defer a.table.mu.Unlock()
 	return a.entry.keyState(a.terms.Scope, a)
--- a/internal/balancer/idempotency/table_test.go
+++ b/internal/balancer/idempotency/table_test.go
@@ -30,7 +30,7 @@
 
 func send(t *testing.T, r *Request, now time.Time, place Place) *Attempt {
 	t.Helper()
-	attempt, err := r.Send(now, place, zoneTerms)
+	attempt, err := r.Reserve(now, place, zoneTerms)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	if !repeat.InProgress {
 		t.Error("InProgress = false while an attempt is in flight")
 	}
-	if _, err := repeat.Send(at(1), south, zoneTerms); !errors.Is(err, ErrHeldElsewhere) {
+	if _, err := repeat.Reserve(at(1), south, zoneTerms); !errors.Is(err, ErrHeldElsewhere) {
 		t.Errorf("reserving the key in another zone while the first attempt runs: got %v, want ErrHeldElsewhere", err)
 	}
 	second := send(t, repeat, at(2), north)
@@ -61,7 +61,7 @@
 		t.Errorf("key state after the attempts: %+v, want known in north until t0+9s", state)
 	}
 	late := begin(t, table, at(9), "k")
-	if _, err := late.Send(at(9), north, zoneTerms); !errors.Is(err, ErrWindowOver) {
+	if _, err := late.Reserve(at(9), north, zoneTerms); !errors.Is(err, ErrWindowOver) {
 		t.Errorf("reserving the key at the end of the retry window: got %v, want ErrWindowOver", err)
 	}
 	late.End()
@@ -213,7 +213,7 @@
 				for _, sent := range relevantAttempts(openKeys[i]) {
 					allowed = allowed && sameGroup(sent.place, place, scope) && now.Before(sent.sentAt.Add(7*time.Second))
 				}
-				attempt, err := openRequests[i].Send(now, place, terms)
+				attempt, err := openRequests[i].Reserve(now, place, terms)
 				if (err == nil) != allowed {
 					t.Fatalf("reserving key %s for %v: error %v, the model allows it: %t", openKeys[i], place, err, allowed)
 				}
@@ -259,7 +259,7 @@
 			b.Fatal(err)
 		}
 		r.KeyState(lbpolicy.ScopeZone)
-		attempt, _ := r.Send(now, north, zoneTerms)
+		attempt, _ := r.Reserve(now, north, zoneTerms)
 		attempt.MayStart(now, north)
 		attempt.End(now, false)
 		r.End()
--- a/internal/balancer/upstream/conn.go
+++ b/internal/balancer/upstream/conn.go
@@ -34,13 +34,13 @@
 	net.Conn
 	raw           syscall.RawConn
 	reader        *bufio.Reader
-	idleSince     time.Time     // when it last became idle; zero: never
-	idleFor       time.Duration // time that it was idle before its present use
-	readDeadline  time.Time     // value set last; zero: none
-	readTimeout   time.Duration // timeout of each read; 0: the read deadline applies
-	maxBody       int64         // limit on a response's body, in bytes
-	earlyResponse chan error    // set while a request body is streamed: receives the result of waiting for the response
-	progress      *Receipt      // progress of its present attempt
+	idleSince     time.Time        // when it last became idle; zero: never
+	idleFor       time.Duration    // time that it was idle before its present use
+	readDeadline  time.Time        // value set last; zero: none
+	readTimeout   time.Duration    // timeout of each read; 0: the read deadline applies
+	maxBody       int64            // limit on a response's body, in bytes
+	earlyResponse chan error       // set while a request body is streamed: receives the result of waiting for the response
+	progress      *AttemptProgress // progress of its present attempt
 	readFD        func(fd uintptr) (done bool)
 	readBuffer    []byte // destination of the read in progress; its result is in readBytes and readErr
 	readBytes     int
--- a/internal/balancer/upstream/dial_test.go
+++ b/internal/balancer/upstream/dial_test.go
@@ -51,7 +51,7 @@
 func startRequest(ctx context.Context, p *Pool, id string) chan attemptResult {
 	results := make(chan attemptResult, 1)
 	go func() {
-		verdict, response, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
+		verdict, response, _ := p.Do(ctx, newRequest(id), &AttemptProgress{}, alwaysClaim)
 		if response == nil {
 			response = &Response{}
 		}
--- a/internal/balancer/upstream/pool.go
+++ b/internal/balancer/upstream/pool.go
@@ -32,7 +32,7 @@
 // response is nil unless a valid response was received, which is only possible with the verdicts OK, Error, Rejected and ServerFull.
 // When Do returns, the attempt's connection is closed or idle, unless the response is streamed. While Do runs, other goroutines can
 // read from progress whether a response has arrived.
-func (p *Pool) Do(ctx context.Context, r *Request, progress *Receipt, claim func() bool) (lbpolicy.Verdict, *Response, error) {
+func (p *Pool) Do(ctx context.Context, r *Request, progress *AttemptProgress, claim func() bool) (lbpolicy.Verdict, *Response, error) {
 	c, verdict, err := p.acquire(ctx, progress)
 	if c == nil {
 		return verdict, nil, err
@@ -137,7 +137,7 @@
 }
 
 // acquire returns an idle connection or a new one. If the connection is nil, the verdict and the error say why.
-func (p *Pool) acquire(ctx context.Context, progress *Receipt) (*conn, lbpolicy.Verdict, error) {
+func (p *Pool) acquire(ctx context.Context, progress *AttemptProgress) (*conn, lbpolicy.Verdict, error) {
 	for {
 		c, ok := p.takeIdleOrReserveSlot()
 		if c == nil && !ok { // NotSent, as the endpoint is not at fault
@@ -154,7 +154,7 @@
 }
 
 // open opens a connection for which a slot is reserved. If it fails, it releases the slot.
-func (p *Pool) open(ctx context.Context, progress *Receipt) (*conn, lbpolicy.Verdict, error) {
+func (p *Pool) open(ctx context.Context, progress *AttemptProgress) (*conn, lbpolicy.Verdict, error) {
 	dial := &pendingDial{startedAt: time.Now()}
 	progress.dial.Store(dial)
 	defer progress.dial.Store(nil)
--- a/internal/balancer/upstream/receipt.go
+++ b/internal/balancer/upstream/receipt.go
@@ -8,11 +8,11 @@
 	"silvertrail/internal/base/socket"
 )
 
-// Receipt tracks the progress of one attempt, whether or not the attempt's goroutine has run in the meantime. It tells since when
+// AttemptProgress tracks the progress of one attempt, whether or not the attempt's goroutine has run in the meantime. It tells since when
 // the attempt has been waiting for its endpoint, and whether a response has arrived that Do has not returned yet. Such a response is
 // unread in the socket, or has been read and is being parsed. The zero value is ready for use by one call of Do. The exported methods
 // may be called from any goroutine and do not block.
-type Receipt struct {
+type AttemptProgress struct {
 	dial atomic.Pointer[pendingDial] // nil: no connection is being opened
 	conn atomic.Pointer[conn]        // connection that the attempt uses; nil: none yet
 	// isReading is set before the socket is read, and cleared when the read finds the socket empty. It stays set after the end of a
@@ -28,10 +28,10 @@
 	socket    atomic.Pointer[syscall.RawConn] // socket of the latest dial; nil: not known
 }
 
-// WaitsSince returns since when the attempt has been waiting for its endpoint: for a connection, or for the response after the
+// WaitingSince returns since when the attempt has been waiting for its endpoint: for a connection, or for the response after the
 // request was written. For a request that is streamed or larger than maxSingleWrite, the wait includes the writing. The result waits
 // is false while the attempt waits for this process.
-func (r *Receipt) WaitsSince() (since time.Time, waits bool) {
+func (r *AttemptProgress) WaitingSince() (since time.Time, waits bool) {
 	if r.isSent.Load() {
 		return r.sentAt, true
 	}
@@ -41,14 +41,14 @@
 	return time.Time{}, false
 }
 
-// HasArrived reports whether a part of the response has arrived that Do has not returned yet.
-func (r *Receipt) HasArrived() bool {
+// HasUnreadResponse reports whether a part of the response has arrived that Do has not returned yet.
+func (r *AttemptProgress) HasUnreadResponse() bool {
 	c := r.conn.Load()
 	return c != nil && (socket.Unread(c.raw) > 0 || r.isReading.Load())
 }
 
 // recordSent records that the request was written, or that the writing of a large or streamed request begins.
-func (r *Receipt) recordSent() {
+func (r *AttemptProgress) recordSent() {
 	r.sentAt = time.Now()
 	r.isSent.Store(true)
 }
--- a/internal/balancer/upstream/upstream_test.go
+++ b/internal/balancer/upstream/upstream_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), lbtest.Wait)
 	defer cancel()
-	verdict, response, _ := p.Do(ctx, newRequest(id), &Receipt{}, alwaysClaim)
+	verdict, response, _ := p.Do(ctx, newRequest(id), &AttemptProgress{}, alwaysClaim)
 	if ctx.Err() != nil {
 		t.Fatal("the attempt did not end before the test's timeout")
 	}
@@ -249,7 +249,7 @@
 		responseText.Store("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n")
 		r := newRequest("head")
 		r.Method = "HEAD"
-		v, response, err := p.Do(t.Context(), r, &Receipt{}, alwaysClaim)
+		v, response, err := p.Do(t.Context(), r, &AttemptProgress{}, alwaysClaim)
 		if v != lbpolicy.OK || len(response.Body) > 0 || response.Header.Get("Content-Length") != "500" {
 			t.Errorf("HEAD: verdict %d, response %+v, error %v", v, response, err)
 		}
@@ -266,10 +266,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var inFlight sync.WaitGroup
 	for range 2 {
-		inFlight.Go(func() { a.Pool(hanging.Addr).Do(ctx, newRequest("held"), &Receipt{}, alwaysClaim) })
+		inFlight.Go(func() { a.Pool(hanging.Addr).Do(ctx, newRequest("held"), &AttemptProgress{}, alwaysClaim) })
 		<-hanging.Arrivals
 	}
-	if v, _, _ := a.Pool(hanging.Addr).Do(ctx, newRequest("over"), &Receipt{}, alwaysClaim); v != lbpolicy.NotSent {
+	if v, _, _ := a.Pool(hanging.Addr).Do(ctx, newRequest("over"), &AttemptProgress{}, alwaysClaim); v != lbpolicy.NotSent {
 		t.Errorf("request above the allocation's limit: verdict %d, want NotSent", v)
 	}
 	quick := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -20,8 +20,8 @@
 
 // Peer is another control-plane server.
 type Peer struct {
-	Name  string // the node ID in the peer's requests
-	Plane bootstrap.ControlPlane
+	Name         string // the node ID in the peer's requests
+	ControlPlane bootstrap.ControlPlane
 }
 
 // Options configure a control-plane server.
@@ -47,21 +47,21 @@
 
 // Status is the status of a control-plane server.
 type Status struct {
-	Name        string       `json:"name"`
-	Ready       bool         `json:"ready"` // sidecars are served
-	Counter     uint64       `json:"counter"`
-	Clusters    int          `json:"clusters"`
-	Sets        int          `json:"endpoint_sets"`
-	Removed     int          `json:"removed"`
-	Messages    int64        `json:"messages"` // sent since the start
-	Bytes       int64        `json:"bytes"`
-	Waiting     int          `json:"waiting"` // subscribers queued for their initial state
-	Subscribers []Subscriber `json:"subscribers"`
-	Versions    []Version    `json:"versions"` // not acknowledged by all their subscribers, newest first
-	Rejections  []Rejection  `json:"refusals"`
-	Peers       []PeerStatus `json:"peers"`
-	Conflicts   []Conflict   `json:"conflicts"`
-	Dangling    []string     `json:"dangling"` // clusters whose endpoint set is missing
+	Name         string       `json:"name"`
+	Ready        bool         `json:"ready"` // sidecars are served
+	Counter      uint64       `json:"counter"`
+	Clusters     int          `json:"clusters"`
+	EndpointSets int          `json:"endpoint_sets"`
+	Removed      int          `json:"removed"`
+	Messages     int64        `json:"messages"` // sent since the start
+	Bytes        int64        `json:"bytes"`
+	Waiting      int          `json:"waiting"` // subscribers queued for their initial state
+	Subscribers  []Subscriber `json:"subscribers"`
+	Versions     []Version    `json:"versions"` // not acknowledged by all their subscribers, newest first
+	Rejections   []Rejection  `json:"refusals"`
+	Peers        []PeerStatus `json:"peers"`
+	Conflicts    []Conflict   `json:"conflicts"`
+	Dangling     []string     `json:"dangling"` // clusters whose endpoint set is missing
 }
 
 // Subscriber is the status of a subscriber's stream.
--- a/internal/controlplane/peer.go
+++ b/internal/controlplane/peer.go
@@ -117,11 +117,11 @@
 }
 
 func (p *peer) dial() (*grpc.ClientConn, error) {
-	creds, err := xds.Credentials(p.Plane, p.server.log)
+	creds, err := xds.Credentials(p.ControlPlane, p.server.log)
 	if err != nil {
 		return nil, err
 	}
-	return grpc.NewClient("passthrough:///"+p.Plane.Address,
+	return grpc.NewClient("passthrough:///"+p.ControlPlane.Address,
 		grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: peerKeepaliveInterval, Timeout: peerKeepaliveTimeout}),
--- a/internal/controlplane/server_test.go
+++ b/internal/controlplane/server_test.go
@@ -192,7 +192,7 @@
 	if _, err := server.Publish(nil, nil); err == nil {
 		t.Error("an empty publication was accepted")
 	}
-	if status := server.Status(); status.Counter != 1 || status.Sets != 1 || sidecar.portOrState() != "1" {
+	if status := server.Status(); status.Counter != 1 || status.EndpointSets != 1 || sidecar.portOrState() != "1" {
 		t.Errorf("status %+v and port %s after rejected publications, want counter 1, one endpoint set and port 1", status, sidecar.portOrState())
 	}
 }
@@ -245,8 +245,8 @@
 func TestPeersReplicateRecords(t *testing.T) {
 	listener := lbtest.Listen(t)
 	options := api.Options{Name: "a", Listen: listener.Addr().String(), InitialSync: time.Minute}
-	serverB := startServer(t, api.Options{Name: "b", Peers: []api.Peer{{Name: "a", Plane: bootstrap.ControlPlane{Address: options.Listen, Insecure: true}}}})
-	options.Peers = []api.Peer{{Name: "b", Plane: bootstrap.ControlPlane{Address: serverB.Addr(), Insecure: true}}}
+	serverB := startServer(t, api.Options{Name: "b", Peers: []api.Peer{{Name: "a", ControlPlane: bootstrap.ControlPlane{Address: options.Listen, Insecure: true}}}})
+	options.Peers = []api.Peer{{Name: "b", ControlPlane: bootstrap.ControlPlane{Address: serverB.Addr(), Insecure: true}}}
 	listener.Close()
 	serverA := startServer(t, options)
 	lbtest.Until(t, "server a has synced with server b", func() bool { return serverA.Status().Peers[0].Synced })
@@ -279,7 +279,7 @@
 // before the peers' versions. After the time limit of the initial sync, it accepts publications.
 func TestPublicationIsRejectedDuringInitialSync(t *testing.T) {
 	listener := lbtest.Listen(t)
-	peers := []api.Peer{{Name: "b", Plane: bootstrap.ControlPlane{Address: listener.Addr().String(), Insecure: true}}}
+	peers := []api.Peer{{Name: "b", ControlPlane: bootstrap.ControlPlane{Address: listener.Addr().String(), Insecure: true}}}
 	server := startServer(t, api.Options{Name: "a", Peers: peers, InitialSync: time.Hour})
 	if _, err := server.PublishResources(packResources(t, clusterWithEndpoints("x", 1)...), nil); !errors.Is(err, ErrInitialSync) {
 		t.Error(err)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -18,17 +18,17 @@
 	present, removed := s.store.Counts()
 	report := s.distributor.Report(maxReportedRejections)
 	status := api.Status{
-		Name:        s.options.Name,
-		Ready:       s.distributor.IsOpen(),
-		Counter:     s.store.Counter(),
-		Clusters:    present[ads.Clusters],
-		Sets:        present[ads.Endpoints],
-		Removed:     removed,
-		Messages:    s.messageCount,
-		Bytes:       s.byteCount,
-		Waiting:     s.distributor.WaitingCount(),
-		Subscribers: s.subscriberStatuses(report),
-		Peers:       s.peerStatuses(report),
+		Name:         s.options.Name,
+		Ready:        s.distributor.IsOpen(),
+		Counter:      s.store.Counter(),
+		Clusters:     present[ads.Clusters],
+		EndpointSets: present[ads.Endpoints],
+		Removed:      removed,
+		Messages:     s.messageCount,
+		Bytes:        s.byteCount,
+		Waiting:      s.distributor.WaitingCount(),
+		Subscribers:  s.subscriberStatuses(report),
+		Peers:        s.peerStatuses(report),
 	}
 	for _, lag := range report.Lags {
 		status.Versions = append(status.Versions, api.Version{Version: lag.Version.String(), Behind: lag.Behind})
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -116,7 +116,7 @@
 
 // newProposal returns a proposal to send the attempts of a key to a zone.
 func (f *Fleet) newProposal(key string, zone string) ownership.Proposal {
-	return ownership.Proposal{Attempt: f.NextAttemptID(), Key: idempotency.KeyIDOf("", key), Place: idempotency.Place{Cluster: "c", Zone: zone}, Scope: lbpolicy.ScopeZone,
+	return ownership.Proposal{Claim: f.NextClaimID(), Key: idempotency.KeyIDOf("", key), Place: idempotency.Place{Cluster: "c", Zone: zone}, Scope: lbpolicy.ScopeZone,
 		Window: time.Second, Retention: time.Second, TTL: proposalTTL}
 }
 
@@ -140,8 +140,8 @@
 		if state, _ := second.ClaimKey(t.Context(), secondProposal); state != ownership.Claimed {
 			t.Errorf("claim of %s for the owning zone: got %v, want claimed", keyName, state)
 		}
-		first.Release(ownership.Release{Attempt: firstProposal.Attempt, NeverRan: true})
-		second.Release(ownership.Release{Attempt: secondProposal.Attempt, NeverRan: true})
+		first.Release(ownership.Release{Claim: firstProposal.Claim, NeverRan: true})
+		second.Release(ownership.Release{Claim: secondProposal.Claim, NeverRan: true})
 		lbtest.Until(t, "a key whose attempts never ran can be claimed for another zone", func() bool {
 			state, _ := second.ClaimKey(t.Context(), second.newProposal(keyName, "south"))
 			return state == ownership.Claimed
@@ -187,7 +187,7 @@
 					sendPeriods[keyName] = append(sendPeriods[keyName], sendPeriod{zone, now, now.Add(proposal.Window + proposal.Retention)})
 				}
 				mu.Unlock()
-				f.Release(ownership.Release{Attempt: proposal.Attempt, NeverRan: !maySend})
+				f.Release(ownership.Release{Claim: proposal.Claim, NeverRan: !maySend})
 			}
 		})
 	}
@@ -288,7 +288,7 @@
 		if state, _ := fleet.instances[0].ClaimKey(t.Context(), proposal); state != ownership.Claimed {
 			t.Fatal(state)
 		}
-		fleet.instances[0].Release(ownership.Release{Attempt: proposal.Attempt})
+		fleet.instances[0].Release(ownership.Release{Claim: proposal.Claim})
 	}
 	predecessor := fleet.instances[1]
 	predecessor.Close()
@@ -341,7 +341,7 @@
 		t.Errorf("claim after garbage packets: got %v, want claimed", state)
 	}
 	// Replays a release and a proposal in the name of instance 1.
-	encoded, err := encode(&packet{From: instanceName(1), Items: []item{{Release: &ownership.Release{Attempt: proposal.Attempt}}, {Proposal: &proposal}}})
+	encoded, err := encode(&packet{From: instanceName(1), Items: []item{{Release: &ownership.Release{Claim: proposal.Claim}}, {Proposal: &proposal}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/format_test.go
+++ b/internal/fleet/format_test.go
@@ -18,7 +18,7 @@
 // Packets are encoded in the order of their fields. The samples below set each field by name to its own value, so that a moved
 // field changes the encoding.
 var (
-	formatAttemptID = ownership.AttemptID{Process: 0x0102030405060708, Number: 9}
+	formatAttemptID = ownership.ClaimID{Process: 0x0102030405060708, Number: 9}
 	formatPlace     = idempotency.Place{Cluster: "cluster-a", Zone: "zone-b", Cell: 3}
 	formatKeyID     = idempotency.KeyID{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	formatHash      = version.Hash{21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32, 33, 34, 35, 36}
@@ -46,10 +46,10 @@
 }
 
 var formatItems = map[string]item{
-	"ask": {Proposal: &ownership.Proposal{Attempt: formatAttemptID, Round: 4, Key: formatKeyID, Place: formatPlace, Scope: 1, Window: 5 * time.Second,
+	"ask": {Proposal: &ownership.Proposal{Claim: formatAttemptID, Round: 4, Key: formatKeyID, Place: formatPlace, Scope: 1, Window: 5 * time.Second,
 		Retention: 6 * time.Second, TTL: 7 * time.Second}},
-	"answer": {Response: &ownership.Response{Attempt: formatAttemptID, Round: 4, Vote: ownership.HeldElsewhere, Place: formatPlace, Split: true, Remaining: 8 * time.Second}},
-	"end":    {Release: &ownership.Release{Attempt: formatAttemptID, NeverRan: true}},
+	"answer": {Response: &ownership.Response{Claim: formatAttemptID, Round: 4, Vote: ownership.HeldElsewhere, Place: formatPlace, SeveralGroups: true, Remaining: 8 * time.Second}},
+	"end":    {Release: &ownership.Release{Claim: formatAttemptID, NeverRan: true}},
 	"want":   {SnapshotRequest: 71},
 	"copy": {SnapshotPart: &snapshotPart{RequestID: 72, Part: 1, Parts: 3, Keys: []ownership.KeyState{{Key: formatKeyID, Place: formatPlace, SeveralZones: true, SeveralCells: true,
 		RetryFor: 9 * time.Second, ExpiresIn: 10 * time.Second}}}},
@@ -58,7 +58,7 @@
 		Digests:  []gossip.Digest{{Name: "head", Incarnation: 81, Generation: 82, Seq: 83, AgeMilliseconds: 84}},
 		Requests: []gossip.Request{{Name: "want", Incarnation: 85, KnownSeq: 86}},
 		Updates: []gossip.Update{{Name: "part", Incarnation: 87, Generation: 88, Seq: 90, BaseSeq: 89, Changed: formatVector, ChangedAt: []uint64{90},
-			Tombstones: []gossip.Tombstone{{Kind: version.List, Name: "gone", DeletedAt: 90}}, CompactedSeq: 91, AppliedAt: 92, VectorHash: formatHash}},
+			Tombstones: []gossip.Tombstone{{Kind: version.EndpointList, Name: "gone", DeletedAt: 90}}, CompactedSeq: 91, AppliedAt: 92, VectorHash: formatHash}},
 	}},
 }
 
@@ -118,7 +118,7 @@
 			t.Errorf("number of a vote is %d, want %d", vote, n)
 		}
 	}
-	for n, kind := range []version.Kind{version.Build, version.Local, version.Configuration, version.Voters, version.Keyring, version.View, version.List,
+	for n, kind := range []version.Kind{version.Build, version.Local, version.Configuration, version.Voters, version.Keyring, version.View, version.EndpointList,
 		version.Resource, version.Rejected} {
 		if int(kind) != n+1 {
 			t.Errorf("number of version kind %v is %d, want %d", kind, kind, n+1)
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -177,7 +177,7 @@
 					s.announce(member, vectors[member])
 				}
 			default: // entries are added or changed
-				kind := rapid.SampledFrom([]version.Kind{version.Configuration, version.List}).Draw(r, "kind")
+				kind := rapid.SampledFrom([]version.Kind{version.Configuration, version.EndpointList}).Draw(r, "kind")
 				for range rapid.SampledFrom([]int{1, 1, 3, 90}).Draw(r, "how many") {
 					vectors[member] = vectors[member].With(entry(kind, fmt.Sprint(s.rng.IntN(120)), s.rng.IntN(1000)))
 				}
@@ -237,12 +237,12 @@
 	state := MemberState{Name: "b", Incarnation: 7, Generation: 1}
 	var vector version.Vector
 	for i := range 200 {
-		vector = vector.With(entry(version.List, fmt.Sprint(i), i))
+		vector = vector.With(entry(version.EndpointList, fmt.Sprint(i), i))
 	}
 	state = state.successor(vector, 0)
 	old := state
 	for i := range 150 {
-		vector = vector.Without(version.List, fmt.Sprint(i))
+		vector = vector.Without(version.EndpointList, fmt.Sprint(i))
 		state = state.successor(vector, 0)
 	}
 	for _, known := range []MemberState{old, state, {}} {
@@ -266,7 +266,7 @@
 func TestCheckRejectsInvalidMessages(t *testing.T) {
 	t.Parallel()
 	initial := MemberState{Name: "b", Incarnation: 7, Generation: 1}
-	valid := (&initial).successor(version.Vector{entry(version.List, "x", 1), entry(version.List, "y", 1)}, 0)
+	valid := (&initial).successor(version.Vector{entry(version.EndpointList, "x", 1), entry(version.EndpointList, "y", 1)}, 0)
 	if err := (&Message{Updates: []Update{valid.changesSince(0, 0)}}).Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +296,7 @@
 	vector := func(conf, list int) (v version.Vector) {
 		v = v.With(entry(version.Configuration, "", conf))
 		for i := range 20 {
-			v = v.With(entry(version.List, fmt.Sprint("cluster-", i), list))
+			v = v.With(entry(version.EndpointList, fmt.Sprint("cluster-", i), list))
 		}
 		return v
 	}
--- a/internal/fleet/keyownership.go
+++ b/internal/fleet/keyownership.go
@@ -28,7 +28,7 @@
 
 	claimsMu          sync.Mutex // guards the fields below
 	responses         ownership.ResponseTracker
-	claims            map[ownership.AttemptID]*claim
+	claims            map[ownership.ClaimID]*claim
 	lastAttemptNumber uint64
 }
 
@@ -42,7 +42,7 @@
 
 func (k *keyOwnership) start(f *Fleet, now time.Time) {
 	k.fleet = f
-	k.claims = map[ownership.AttemptID]*claim{}
+	k.claims = map[ownership.ClaimID]*claim{}
 	k.snapshots = map[string]*incomingSnapshot{}
 	o := &f.options
 	abstainFor := o.KeyRetention
@@ -52,12 +52,12 @@
 	k.voter = ownership.NewVoter(now, ownership.VoterOptions{MaxKeys: o.MaxKeys, AbstainFor: abstainFor, MaxProposalTTL: o.MaxDeadline})
 }
 
-// NextAttemptID returns a unique ID for the proposals of one request.
-func (k *keyOwnership) NextAttemptID() ownership.AttemptID {
+// NextClaimID returns a unique ID for the proposals of one request.
+func (k *keyOwnership) NextClaimID() ownership.ClaimID {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
 	k.lastAttemptNumber++
-	return ownership.AttemptID{Process: k.fleet.process, Number: k.lastAttemptNumber}
+	return ownership.ClaimID{Process: k.fleet.process, Number: k.lastAttemptNumber}
 }
 
 // ClaimKey asks the voters to agree that the attempts of a key go to one place. It returns once the result is final, or Unknown
@@ -70,7 +70,7 @@
 	}
 	c := &claim{proposer: ownership.NewProposer(now, p, len(voters)), voters: voters, responseArrived: make(chan struct{}, 1)}
 	timeout := k.addClaim(now, p, c)
-	defer k.removeClaim(p.Attempt, c)
+	defer k.removeClaim(p.Claim, c)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	retry := time.NewTicker(proposalRetryInterval)
@@ -112,12 +112,12 @@
 func (k *keyOwnership) addClaim(now time.Time, p ownership.Proposal, c *claim) time.Duration {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
-	k.claims[p.Attempt] = c
+	k.claims[p.Claim] = c
 	return k.responses.Timeout(now, c.voters, min(claimTimeout, p.TTL/2), unresponsiveTimeout)
 }
 
 // removeClaim forgets a claim, unless a later claim of the same attempt has replaced it.
-func (k *keyOwnership) removeClaim(id ownership.AttemptID, c *claim) {
+func (k *keyOwnership) removeClaim(id ownership.ClaimID, c *claim) {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
 	if k.claims[id] == c {
@@ -181,7 +181,7 @@
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
 	k.responses.ResponseReceived(from)
-	c := k.claims[r.Attempt]
+	c := k.claims[r.Claim]
 	if c == nil {
 		return
 	}
--- a/internal/fleet/ownership/message.go
+++ b/internal/fleet/ownership/message.go
@@ -9,16 +9,16 @@
 
 // The messages are encoded as arrays in the order of their fields, which must not change.
 
-// AttemptID identifies the claim of one request on its idempotency key, with all proposals for it. Process is a random number
+// ClaimID identifies the claim of one request on its idempotency key, with all proposals for it. Process is a random number
 // that each process draws at its start, so that the IDs of a restarted process differ from its earlier ones.
-type AttemptID struct {
+type ClaimID struct {
 	Process uint64 `codec:"Process"`
 	Number  uint64 `codec:"Number"`
 }
 
 // Proposal asks a voter to agree that the attempts of a request with an idempotency key go to a place.
 type Proposal struct {
-	Attempt   AttemptID
+	Claim     ClaimID
 	Round     uint32 // increases with each other place that is proposed for the request; replaces the proposals of lower rounds
 	Key       idempotency.KeyID
 	Place     idempotency.Place
@@ -40,17 +40,17 @@
 
 // Response answers a Proposal.
 type Response struct {
-	Attempt   AttemptID
-	Round     uint32
-	Vote      Vote
-	Place     idempotency.Place // a place in the group that owns the key, if the voter knows of one
-	Split     bool              // whether attempts with the key went to several groups
-	Remaining time.Duration     // time left to send further attempts, counted from the response
+	Claim         ClaimID
+	Round         uint32
+	Vote          Vote
+	Place         idempotency.Place // a place in the group that owns the key, if the voter knows of one
+	SeveralGroups bool              // whether attempts with the key went to several groups
+	Remaining     time.Duration     // time left to send further attempts, counted from the response
 }
 
 // Release tells a voter that a request has ended.
 type Release struct {
-	Attempt  AttemptID
+	Claim    ClaimID
 	NeverRan bool // whether it is known that none of its attempts ran
 }
 
--- a/internal/fleet/ownership/model_test.go
+++ b/internal/fleet/ownership/model_test.go
@@ -155,7 +155,7 @@
 func (m *model) propose(i int, place idempotency.Place) {
 	r := m.requests[i]
 	r.place = place
-	proposal := Proposal{Attempt: AttemptID{uint64(10*m.script[i].process + m.incarnations[m.script[i].process]), uint64(i)}, Round: uint32(len(r.proposals)),
+	proposal := Proposal{Claim: ClaimID{uint64(10*m.script[i].process + m.incarnations[m.script[i].process]), uint64(i)}, Round: uint32(len(r.proposals)),
 		Key: idempotency.KeyIDOf("", m.script[i].key), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
 	r.proposer = NewProposer(m.now, proposal, 3)
 	r.proposals = append(r.proposals, proposal)
@@ -191,7 +191,7 @@
 		m.propose(n, keyState.Place)
 	case "fail", "ended":
 		r.done = true
-		r.release = &Release{r.proposer.Proposal().Attempt, kind == "fail"}
+		r.release = &Release{r.proposer.Proposal().Claim, kind == "fail"}
 	case "crash":
 		m.crashes++
 		m.incarnations[n]++
@@ -382,7 +382,7 @@
 // The list of voters may change by one voter at a time.
 func TestVoterGrantsRoundsReleasesAndCapacity(t *testing.T) {
 	proposal := func(number uint64, round uint32, place idempotency.Place) Proposal {
-		return Proposal{Attempt: AttemptID{1, number}, Round: round, Key: idempotency.KeyIDOf("", "a"), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
+		return Proposal{Claim: ClaimID{1, number}, Round: round, Key: idempotency.KeyIDOf("", "a"), Place: place, Scope: lbpolicy.ScopeZone, Window: window, Retention: retention, TTL: ttl}
 	}
 	v := NewVoter(startTime, VoterOptions{MaxKeys: 4, MaxProposalTTL: ttl})
 	vote := func(p Proposal) Vote {
@@ -396,15 +396,15 @@
 	if _, ok := v.Vote(startTime, proposal(1, 0, north)); ok {
 		t.Error("a proposal of an earlier round got a response")
 	}
-	v.Release(startTime, Release{AttemptID{1, 3}, true}, ttl)
+	v.Release(startTime, Release{ClaimID{1, 3}, true}, ttl)
 	if _, ok := v.Vote(startTime, proposal(3, 0, south)); ok {
 		t.Error("a proposal that arrived after its release got a response")
 	}
-	v.Release(startTime, Release{AttemptID{1, 1}, true}, ttl)
+	v.Release(startTime, Release{ClaimID{1, 1}, true}, ttl)
 	if vote(proposal(4, 0, north)) != HeldElsewhere {
 		t.Error("key granted in north while another request holds it in south")
 	}
-	v.Release(startTime, Release{AttemptID{1, 2}, true}, ttl)
+	v.Release(startTime, Release{ClaimID{1, 2}, true}, ttl)
 	if vote(proposal(4, 0, north)) != Grant {
 		t.Error("key held elsewhere although no attempt ran")
 	}
--- a/internal/fleet/ownership/proposer.go
+++ b/internal/fleet/ownership/proposer.go
@@ -44,7 +44,7 @@
 	if voter < 0 || voter >= len(p.responded) {
 		return
 	}
-	if r.Attempt != p.proposal.Attempt || r.Round != p.proposal.Round {
+	if r.Claim != p.proposal.Claim || r.Round != p.proposal.Round {
 		return
 	}
 	if p.responded[voter] && p.responses[voter].Vote != Abstain {
@@ -72,7 +72,7 @@
 		case r.Vote == HeldElsewhere:
 			refused++
 			if !owned.Known || until.Before(owned.RetryUntil) {
-				owned = idempotency.KeyState{Known: true, Place: r.Place, SeveralGroups: r.Split, RetryUntil: until}
+				owned = idempotency.KeyState{Known: true, Place: r.Place, SeveralGroups: r.SeveralGroups, RetryUntil: until}
 			}
 		}
 	}
--- a/internal/fleet/ownership/voter.go
+++ b/internal/fleet/ownership/voter.go
@@ -46,7 +46,7 @@
 type Voter struct {
 	table               *idempotency.Table
 	maxKeys             int
-	grants              map[AttemptID]*grant
+	grants              map[ClaimID]*grant
 	expiry              timerqueue.Queue[*grant]
 	abstainUntil        time.Time
 	snapshotsUsefulFrom time.Time       // all grants of earlier incarnations have expired by then
@@ -55,7 +55,7 @@
 
 // grant records a proposal that was granted, or a request that is known to have ended.
 type grant struct {
-	claim   AttemptID
+	claim   ClaimID
 	round   uint32
 	place   idempotency.Place
 	request *idempotency.Request
@@ -77,7 +77,7 @@
 	return &Voter{
 		table:               idempotency.New(o.MaxKeys),
 		maxKeys:             o.MaxKeys,
-		grants:              map[AttemptID]*grant{},
+		grants:              map[ClaimID]*grant{},
 		abstainUntil:        now.Add(o.AbstainFor),
 		snapshotsUsefulFrom: now.Add(o.MaxProposalTTL),
 		mergedFrom:          map[string]bool{},
@@ -87,13 +87,13 @@
 // Vote returns the response to a proposal. ok is false for an outdated proposal, which gets no response.
 func (v *Voter) Vote(now time.Time, p Proposal) (response Response, ok bool) {
 	v.expire(now)
-	current := v.grants[p.Attempt]
+	current := v.grants[p.Claim]
 	if current != nil && (current.ended || p.Round < current.round) {
 		return Response{}, false
 	}
-	response = Response{Attempt: p.Attempt, Round: p.Round, Vote: v.decide(now, p, current), Remaining: p.TTL}
+	response = Response{Claim: p.Claim, Round: p.Round, Vote: v.decide(now, p, current), Remaining: p.TTL}
 	known := v.priorKeyState(now, p, response.Vote)
-	response.Place, response.Split = known.Place, known.SeveralGroups
+	response.Place, response.SeveralGroups = known.Place, known.SeveralGroups
 	if known.Known {
 		response.Remaining = known.RetryUntil.Sub(now)
 	}
@@ -107,7 +107,7 @@
 // its proposer knows.
 func (v *Voter) priorKeyState(now time.Time, p Proposal, vote Vote) idempotency.KeyState {
 	if vote == Grant {
-		return v.grants[p.Attempt].attempt.OtherAttempts()
+		return v.grants[p.Claim].attempt.OtherAttemptsState()
 	}
 	return v.table.KeyState(now, p.Key, p.Scope)
 }
@@ -137,12 +137,12 @@
 		return Abstain
 	}
 	terms := idempotency.Terms{Scope: p.Scope, Window: p.Window, Retention: p.Retention + p.TTL}
-	attempt, err := request.Send(now, p.Place, terms)
+	attempt, err := request.Reserve(now, p.Place, terms)
 	if err != nil {
 		request.End()
 		return HeldElsewhere
 	}
-	v.record(now.Add(p.TTL), &grant{claim: p.Attempt, round: p.Round, place: p.Place, request: request, attempt: attempt})
+	v.record(now.Add(p.TTL), &grant{claim: p.Claim, round: p.Round, place: p.Place, request: request, attempt: attempt})
 	return Grant
 }
 
@@ -154,10 +154,10 @@
 // Release ends a request. The end is remembered until no proposal of the request can arrive any more.
 func (v *Voter) Release(now time.Time, r Release, maxProposalTTL time.Duration) {
 	v.expire(now)
-	current := v.grants[r.Attempt]
+	current := v.grants[r.Claim]
 	if current == nil {
 		if len(v.grants) < grantsPerKey*v.maxKeys {
-			v.record(now.Add(maxProposalTTL), &grant{claim: r.Attempt, ended: true})
+			v.record(now.Add(maxProposalTTL), &grant{claim: r.Claim, ended: true})
 		}
 		return
 	}
--- a/internal/fleet/version/version.go
+++ b/internal/fleet/version/version.go
@@ -26,7 +26,7 @@
 	Voters                        // the list of voters
 	Keyring                       // identifies the keys, without the keys themselves
 	View                          // the view of the members of the fleet: numbered by membership
-	List                          // the endpoint list of a cluster, as merged from its sources
+	EndpointList                  // the endpoint list of a cluster, as merged from its sources
 	Resource                      // an xDS resource
 	Rejected                      // a configuration file that was rejected, until one is accepted
 )
@@ -45,10 +45,10 @@
 
 // IsUrgent reports whether a change is announced immediately. Endpoint lists and xDS resources are not urgent, because they
 // change often, and at all members at the same time.
-func (k Kind) IsUrgent() bool { return k != List && k != Resource }
+func (k Kind) IsUrgent() bool { return k != EndpointList && k != Resource }
 
 // IsTransient reports whether an entry may disappear without being replaced.
-func (k Kind) IsTransient() bool { return k == List || k == Resource || k == Rejected }
+func (k Kind) IsTransient() bool { return k == EndpointList || k == Resource || k == Rejected }
 
 // Hash identifies content by the first half of its SHA-256 hash.
 type Hash [16]byte
--- a/internal/fleet/version/version_test.go
+++ b/internal/fleet/version/version_test.go
@@ -21,7 +21,7 @@
 		for i := range entries {
 			entries[i] = AssignNumber(Configuration, "", hashOfText("v0"), "", entries[:i])
 			if !numbered {
-				entries[i] = Entry{Kind: List, Name: "c", Hash: hashOfText("v0")}
+				entries[i] = Entry{Kind: EndpointList, Name: "c", Hash: hashOfText("v0")}
 			}
 		}
 		for range rapid.IntRange(1, 12).Draw(r, "steps") {
@@ -75,7 +75,7 @@
 	}{
 		{first, left, Older}, {left, right, Forked}, {next, right, Forked}, {right, next, Forked}, {left, next, Older}, {next, late, Older}, {late, first, Newer},
 		{right, late, Forked}, // late continues from the other side
-		{first, Entry{Kind: List, Hash: first.Hash}, Unknown},
+		{first, Entry{Kind: EndpointList, Hash: first.Hash}, Unknown},
 	} {
 		if got := Compare(test.a, test.b); got != test.want {
 			t.Errorf("Compare of %+v to %+v is %v, want %v", test.a, test.b, got, test.want)
@@ -84,7 +84,7 @@
 	if restored := AssignNumber(Configuration, "", hashOfText("a"), "", []Entry{next}); restored.Number != first.Number || Compare(restored, next) != Older {
 		t.Errorf("content of the first version has the entry %+v, want the number of the first version and an older one than the newest", restored)
 	}
-	one, other := Entry{Kind: List, Hash: hashOfText("x")}, Entry{Kind: List, Hash: hashOfText("y")}
+	one, other := Entry{Kind: EndpointList, Hash: hashOfText("x")}, Entry{Kind: EndpointList, Hash: hashOfText("y")}
 	if got := Compare(one, other); got != Unknown {
 		t.Errorf("Compare of entries without ancestors is %v, want unknown", got)
 	}
@@ -96,7 +96,7 @@
 // The digest of a vector does not depend on the order in which entries were added, and changes with any entry. Check rejects an
 // invalid entry, entries out of order, and duplicates.
 func TestVectorIgnoresInsertionOrderAndDetectsChanges(t *testing.T) {
-	entries := []Entry{{Kind: List, Name: "b", Hash: hashOfText("1")}, {Kind: List, Name: "a", Hash: hashOfText("2")}, {Kind: Build, Hash: hashOfText("3")},
+	entries := []Entry{{Kind: EndpointList, Name: "b", Hash: hashOfText("1")}, {Kind: EndpointList, Name: "a", Hash: hashOfText("2")}, {Kind: Build, Hash: hashOfText("3")},
 		{Kind: Configuration, Hash: hashOfText("4"), Number: 7}}
 	var vector, reversed Vector
 	for i := range entries {
@@ -106,7 +106,7 @@
 		t.Errorf("vectors of the same entries differ or are invalid: %+v, %+v", vector, reversed)
 	}
 	seen := map[Hash]bool{vector.Digest(): true}
-	for _, e := range []Entry{{Kind: List, Name: "a", Hash: hashOfText("x")}, {Kind: Configuration, Hash: hashOfText("4"), Number: 8}, {Kind: List, Name: "c", Hash: hashOfText("2")},
+	for _, e := range []Entry{{Kind: EndpointList, Name: "a", Hash: hashOfText("x")}, {Kind: Configuration, Hash: hashOfText("4"), Number: 8}, {Kind: EndpointList, Name: "c", Hash: hashOfText("2")},
 		{Kind: 99, Hash: hashOfText("of a later program")}} {
 		if digest := vector.With(e).Digest(); seen[digest] {
 			t.Errorf("digest does not change with %+v", e)
@@ -114,7 +114,7 @@
 			seen[digest] = true
 		}
 	}
-	if got := vector.Without(List, "a"); len(got) != 3 || seen[got.Digest()] {
+	if got := vector.Without(EndpointList, "a"); len(got) != 3 || seen[got.Digest()] {
 		t.Errorf("vector without the endpoint list a is %+v, want the other three entries", got)
 	}
 	if e, ok := vector.Find(Configuration, ""); !ok || e.Number != 7 {
--- a/internal/fleet/versionlag/versionlag_test.go
+++ b/internal/fleet/versionlag/versionlag_test.go
@@ -42,7 +42,7 @@
 	x := configuration(2, "x", version.Ancestor{Number: 1, Hash: a.Hash})
 	c := configuration(3, "c", version.Ancestor{Number: 2, Hash: b.Hash}, version.Ancestor{Number: 1, Hash: a.Hash})
 	list := func(text string, ancestors ...string) version.Entry {
-		e := version.Entry{Kind: version.List, Name: "c", Hash: version.HashOf([]byte(text))}
+		e := version.Entry{Kind: version.EndpointList, Name: "c", Hash: version.HashOf([]byte(text))}
 		for _, ancestor := range ancestors {
 			e.Ancestors = append(e.Ancestors, version.Ancestor{Hash: version.HashOf([]byte(ancestor))})
 		}
--- a/internal/gateway/appliedversions.go
+++ b/internal/gateway/appliedversions.go
@@ -68,7 +68,7 @@
 		}
 	}
 	slices.Sort(lines)
-	return version.Entry{Kind: version.List, Name: name, Hash: version.HashOf([]byte(strings.Join(lines, ""))), Description: fmt.Sprintf("%d members, %d ready", len(members), ready)}
+	return version.Entry{Kind: version.EndpointList, Name: name, Hash: version.HashOf([]byte(strings.Join(lines, ""))), Description: fmt.Sprintf("%d members, %d ready", len(members), ready)}
 }
 
 // maxReloadErrorBytes bounds the text of a reload error that the fleet's members see.
--- a/internal/gateway/conf/controlplane.go
+++ b/internal/gateway/conf/controlplane.go
@@ -57,7 +57,7 @@
 		case slices.ContainsFunc(o.Peers, func(is api.Peer) bool { return is.Name == pl.Name }):
 			p.report(inner.LabelRanges[0], "Named twice", "A peer named %q is there already.", pl.Name)
 		default:
-			o.Peers = append(o.Peers, api.Peer{Name: pl.Name, Plane: pl})
+			o.Peers = append(o.Peers, api.Peer{Name: pl.Name, ControlPlane: pl})
 		}
 	}
 	if n := len(o.Peers); n > maxPeers {
--- a/internal/gateway/conf/controlplane_test.go
+++ b/internal/gateway/conf/controlplane_test.go
@@ -21,7 +21,7 @@
 	}
 	o := f.ControlPlane
 	if o.Name != "control-1" || o.BytesPerSecond != 10<<20 || o.InitialSync != 3*time.Second || o.MaxSubscribers != 2048 || o.StateFile != filepath.Join(filepath.Dir(path), "control-1.state") ||
-		len(o.Peers) != 1 || o.Peers[0].Plane.ServerName != "control-2.example" || len(f.Listeners) != 0 {
+		len(o.Peers) != 1 || o.Peers[0].ControlPlane.ServerName != "control-2.example" || len(f.Listeners) != 0 {
 		t.Errorf("%+v", o)
 	}
 	broken := string(text)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -128,7 +128,7 @@
 	if x.keyRequest == nil {
 		return nil
 	}
-	key := &engine.Key{History: x.keyRequest, Cluster: forwarding.QualifyCluster(x.gateway.site, clusterName), Terms: x.terms()}
+	key := &engine.Key{Request: x.keyRequest, Cluster: forwarding.QualifyCluster(x.gateway.site, clusterName), Terms: x.terms()}
 	if x.claimer != nil {
 		key.Claimer = x.claimer
 	}
--- a/internal/gateway/forwarding.go
+++ b/internal/gateway/forwarding.go
@@ -125,7 +125,7 @@
 	if x.keyRequest != nil {
 		f.mayHaveRun = x.keyRequest.MayHaveRun()
 		var err error
-		if f.key, err = x.keyRequest.Send(time.Now(), f.place(), x.terms()); err != nil {
+		if f.key, err = x.keyRequest.Reserve(time.Now(), f.place(), x.terms()); err != nil {
 			f.transport.RecordResult(f.site, x.class.PriorityWeight, forwarding.NotSent, 0)
 			return engine.Result{MayHaveRun: true}, false
 		}
@@ -133,7 +133,7 @@
 	if x.record == nil {
 		return result, true
 	}
-	f.record = x.record.Attempt(siteEndpointName(f.site), x.terms())
+	f.record = x.record.BeginAttempt(siteEndpointName(f.site), x.terms())
 	if err := f.record.Intent(ctx, f.place()); err != nil {
 		f.record.Ended(lbpolicy.NotSent, 0)
 		f.key.End(time.Now(), true)
@@ -229,13 +229,13 @@
 
 // claimNumbers returns the numbers under which the voters know the request, for the site that goes on with it. Where the key may have
 // run there already, the request claims its key anew: another round would say that the earlier ones never ran.
-func (x *exchange) claimNumbers(keyMayHaveRun, mayHaveRun bool) (ownership.AttemptID, uint32) {
+func (x *exchange) claimNumbers(keyMayHaveRun, mayHaveRun bool) (ownership.ClaimID, uint32) {
 	if x.claimer == nil {
-		return ownership.AttemptID{}, 0
+		return ownership.ClaimID{}, 0
 	}
 	if keyMayHaveRun {
 		if x.claimer.resumed {
-			return ownership.AttemptID{}, 0 // the site claims in its own name
+			return ownership.ClaimID{}, 0 // the site claims in its own name
 		}
 		x.claimer.release(mayHaveRun)
 		x.claimer = newKeyClaimer(x.gateway.fleet, x.keyID, x.class, x.deadline)
--- a/internal/gateway/keyclaimer.go
+++ b/internal/gateway/keyclaimer.go
@@ -35,16 +35,16 @@
 		fleet:          f,
 		deadline:       deadline,
 		reservedRounds: reservedRoundsAfter(0),
-		proposal:       ownership.Proposal{Attempt: f.NextAttemptID(), Key: id, Scope: c.Scope, Window: c.Window, Retention: c.Retention},
+		proposal:       ownership.Proposal{Claim: f.NextClaimID(), Key: id, Scope: c.Scope, Window: c.Window, Retention: c.Retention},
 	}
 }
 
 // resumeKeyClaimer returns the claimer of a request that another site has begun, under the numbers by which the voters know it. The other
 // site reports its end.
-func resumeKeyClaimer(f *fleet.Fleet, id idempotency.KeyID, c *conf.Class, deadline time.Time, attempt ownership.AttemptID, round uint32, visitedSites int) *keyClaimer {
+func resumeKeyClaimer(f *fleet.Fleet, id idempotency.KeyID, c *conf.Class, deadline time.Time, attempt ownership.ClaimID, round uint32, visitedSites int) *keyClaimer {
 	b := newKeyClaimer(f, id, c, deadline)
 	b.reservedRounds = reservedRoundsAfter(visitedSites)
-	b.proposal.Attempt = attempt
+	b.proposal.Claim = attempt
 	b.proposal.Round = round
 	b.proposed = true
 	b.resumed = true
@@ -69,17 +69,17 @@
 
 // delegate returns the numbers under which another site may go on with the request, none of whose attempts here ran. Its reserved rounds
 // are not proposed here any more.
-func (b *keyClaimer) delegate() (ownership.AttemptID, uint32) {
+func (b *keyClaimer) delegate() (ownership.ClaimID, uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	round := b.proposal.Round
 	if b.reservedRounds == 0 || round > math.MaxUint32-b.reservedRounds {
-		return ownership.AttemptID{}, 0
+		return ownership.ClaimID{}, 0
 	}
 	b.proposed = true
 	b.ownership = ownership.Pending
 	b.proposal.Round += b.reservedRounds
-	return b.proposal.Attempt, round
+	return b.proposal.Claim, round
 }
 
 // KeyState implements engine.Claimer.
@@ -129,6 +129,6 @@
 	defer b.mu.Unlock()
 	b.ended = true
 	if b.proposed && !b.resumed {
-		b.fleet.Release(ownership.Release{Attempt: b.proposal.Attempt, NeverRan: !mayHaveRun})
+		b.fleet.Release(ownership.Release{Claim: b.proposal.Claim, NeverRan: !mayHaveRun})
 	}
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -62,7 +62,7 @@
 	if !failover.NeedsFleetClaim(x.class.Scope, hasSeveralPlaces) {
 		return nil
 	}
-	if r := x.forwarded; r != nil && r.ClaimAttempt != (ownership.AttemptID{}) {
+	if r := x.forwarded; r != nil && r.ClaimAttempt != (ownership.ClaimID{}) {
 		return resumeKeyClaimer(f, x.keyID, x.class, x.deadline, r.ClaimAttempt, r.ClaimRound, len(r.VisitedSites))
 	}
 	return newKeyClaimer(f, x.keyID, x.class, x.deadline)
--- a/internal/gateway/ledgerrecord.go
+++ b/internal/gateway/ledgerrecord.go
@@ -21,8 +21,8 @@
 	terms idempotency.Terms
 }
 
-func (r attemptRecorder) Attempt(endpoint string) engine.Record {
-	return r.entry.Attempt(endpoint, r.terms)
+func (r attemptRecorder) BeginAttempt(endpoint string) engine.Record {
+	return r.entry.BeginAttempt(endpoint, r.terms)
 }
 
 // terms returns what the request's class promises of its keys.
@@ -59,7 +59,7 @@
 		return result, true
 	}
 	r := ledger.Request{ID: x.outgoing.Header.Get("X-Request-Id"), Class: x.class.Name, Tenant: x.tenant, Key: x.key, KeyID: x.keyID, Fingerprint: fingerprint,
-		TimeLeft: x.policyRequest.TimeLeft, Unrecorded: x.class.ServeUnrecorded}
+		TimeLeft: x.policyRequest.TimeLeft, ServeUnrecorded: x.class.ServeUnrecorded}
 	if x.forwarded != nil && len(x.forwarded.VisitedSites) > 0 {
 		r.FromSite = x.forwarded.VisitedSites[len(x.forwarded.VisitedSites)-1]
 	}
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -20,8 +20,8 @@
 	Fingerprint idempotency.Fingerprint
 	TimeLeft    time.Duration
 	FromSite    string // site that forwarded the request; empty if a client sent it
-	// Unrecorded allows the request to be served even if it cannot be recorded.
-	Unrecorded bool
+	// ServeUnrecorded allows the request to be served even if it cannot be recorded.
+	ServeUnrecorded bool
 }
 
 // Entry is one request in the ledger.
@@ -60,7 +60,7 @@
 	defer l.mu.Unlock()
 	reason, retryAfter := l.commit.Ready(time.Now())
 	l.requestCount++
-	e := &Entry{ledger: l, number: l.requestCount, serveUnrecorded: r.Unrecorded}
+	e := &Entry{ledger: l, number: l.requestCount, serveUnrecorded: r.ServeUnrecorded}
 	if reason == "" {
 		record.Request, record.At = e.number, l.elapsed()
 		if _, ok := l.addRecord(&record, false); ok {
@@ -69,7 +69,7 @@
 		reason, retryAfter = noRoomReason, l.options.Load().Commit.SlowDiskTime
 	}
 	l.logState(time.Now())
-	if r.Unrecorded {
+	if r.ServeUnrecorded {
 		return e, nil
 	}
 	return nil, &UnavailableError{Reason: reason, RetryAfter: retryAfter}
@@ -87,8 +87,8 @@
 	ended          bool
 }
 
-// Attempt begins the request's next attempt. Nothing is recorded until Intent is called.
-func (e *Entry) Attempt(endpoint string, terms idempotency.Terms) *Attempt {
+// BeginAttempt begins the request's next attempt. Nothing is recorded until Intent is called.
+func (e *Entry) BeginAttempt(endpoint string, terms idempotency.Terms) *Attempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.attempts++
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	requests := map[string]*requesthistory.Request{}
 	report, err := Read(d, false, func(request *requesthistory.Request) {
-		if request.Known && requests[request.ID] != nil {
+		if request.HasReceived && requests[request.ID] != nil {
 			t.Errorf("Read returned request %s twice", request.ID)
 		}
 		requests[request.ID] = request
@@ -113,7 +113,7 @@
 		ending := segment.Failed
 		for attempt := range 1 + random.IntN(3) {
 			endpoint := fmt.Sprint("n", random.IntN(4))
-			a := e.Attempt(endpoint, terms)
+			a := e.BeginAttempt(endpoint, terms)
 			if err := a.Intent(ctx, idempotency.Place{Cluster: "c", Zone: "z"}); err != nil {
 				a.Ended(lbpolicy.NotSent, 0)
 				ending = segment.Rejected
@@ -179,7 +179,7 @@
 		}
 		intents := map[string]int{}
 		for _, a := range request.Attempts {
-			if a.Intended {
+			if a.HasIntent {
 				intents[a.Endpoint]++
 			}
 		}
@@ -394,7 +394,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := e.Attempt("n1", terms)
+		a := e.BeginAttempt("n1", terms)
 		if err := a.Intent(context.Background(), idempotency.Place{Zone: "z"}); err != nil {
 			t.Fatal(err)
 		}
@@ -467,12 +467,12 @@
 			l := startLedger(t, o)
 			serve := func(id string, unrecorded bool) (sent bool) {
 				request := testRequest(id)
-				request.Unrecorded = unrecorded
+				request.ServeUnrecorded = unrecorded
 				e, err := l.Begin(request)
 				if err != nil {
 					return false
 				}
-				a := e.Attempt("n1", terms)
+				a := e.BeginAttempt("n1", terms)
 				if err := a.Intent(ctx, idempotency.Place{Zone: "z"}); err != nil {
 					a.Ended(lbpolicy.NotSent, 0)
 					e.Finish(segment.Rejected, 503)
@@ -490,7 +490,7 @@
 			if _, err := l.Begin(testRequest("after it")); !errors.As(err, &unavailable) || unavailable.RetryAfter <= 0 {
 				t.Errorf("Begin during the disk fault: got %v, want an UnavailableError with RetryAfter", err)
 			}
-			if !serve("unrecorded", true) || l.Status().Unrecorded == 0 {
+			if !serve("unrecorded", true) || l.Status().UnrecordedAttempts == 0 {
 				t.Errorf("request with Unrecorded set was not served, or not counted: %+v", l.Status())
 			}
 			clearFault()
@@ -533,7 +533,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := e.Attempt("n1", terms)
+		a := e.BeginAttempt("n1", terms)
 		if err := a.Intent(context.Background(), idempotency.Place{Zone: "z"}); err != nil {
 			t.Fatal(err)
 		}
@@ -617,7 +617,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := e.Attempt("n1", terms).Intent(context.Background(), idempotency.Place{Cluster: "c", Zone: "north"}); err != nil {
+	if err := e.BeginAttempt("n1", terms).Intent(context.Background(), idempotency.Place{Cluster: "c", Zone: "north"}); err != nil {
 		t.Fatal(err)
 	}
 	killedDisk := d.AfterKill()
@@ -665,7 +665,7 @@
 	if e, err = l.Begin(testRequest("b")); err != nil {
 		t.Fatal(err)
 	}
-	if err := e.Attempt("n1", terms).Intent(context.Background(), idempotency.Place{Zone: "north"}); err != nil {
+	if err := e.BeginAttempt("n1", terms).Intent(context.Background(), idempotency.Place{Zone: "north"}); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -704,7 +704,7 @@
 		}
 		e.Finish(segment.Served, 200)
 	}
-	lbtest.Until(t, "all records are durable", func() bool { v := l.Status(); return v.Durable == v.Records })
+	lbtest.Until(t, "all records are durable", func() bool { v := l.Status(); return v.DurableSeq == v.LastSeq })
 	o.Retention.MaxBytes = 1
 	moved := o
 	moved.Dir += "x"
@@ -742,7 +742,7 @@
 	}
 	lbtest.Until(t, "the new directory is used", func() bool {
 		e, err := l.Begin(testRequest("c"))
-		return err == nil && e.Attempt("n", terms).Intent(context.Background(), idempotency.Place{}) == nil
+		return err == nil && e.BeginAttempt("n", terms).Intent(context.Background(), idempotency.Place{}) == nil
 	})
 	if _, err := Start(o); !errors.Is(err, disk.ErrLocked) {
 		t.Errorf("second start on the directory created again: got %v, want ErrLocked", err)
--- a/internal/ledger/read.go
+++ b/internal/ledger/read.go
@@ -107,7 +107,7 @@
 		f.Bytes, _ = d.Size(name)
 		f.Header, err = readHeader(d, name)
 		switch {
-		case errors.Is(err, segment.ErrForeign) && isBlank(d, name):
+		case errors.Is(err, segment.ErrInvalidHeader) && isBlank(d, name):
 			f.SkipReason = neverUsed
 		case err != nil:
 			f.SkipReason = err.Error()
--- a/internal/ledger/reader.go
+++ b/internal/ledger/reader.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		r.addDeferred(seq)
-		if seq >= r.index.Next() {
+		if seq >= r.index.NextSeq() {
 			r.report.Records++
 		}
 		r.index.AddRecord(seq, record)
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -102,7 +102,7 @@
 	if f.incarnation == nil {
 		return now.Time
 	}
-	least, _, ok := now.Ago(f.incarnation, f.lastRecord)
+	least, _, ok := now.Elapsed(f.incarnation, f.lastRecord)
 	if !ok {
 		return now.Time
 	}
--- a/internal/ledger/requesthistory/format_test.go
+++ b/internal/ledger/requesthistory/format_test.go
@@ -32,6 +32,6 @@
 	golden.Fill(&r)
 	r.Ending = 1
 	incomplete := r
-	incomplete.Known, incomplete.Answered = false, false
+	incomplete.HasReceived, incomplete.HasFinal = false, false
 	golden.Text(t, "request.txt", []byte(r.Text()+"\n"+incomplete.Text()))
 }
--- a/internal/ledger/requesthistory/index.go
+++ b/internal/ledger/requesthistory/index.go
@@ -100,8 +100,8 @@
 // Incarnation returns the current incarnation, or nil before the first segment.
 func (x *Index) Incarnation() *Incarnation { return x.incarnation }
 
-// Next returns the sequence number that the next record should have.
-func (x *Index) Next() uint64 { return x.next }
+// NextSeq returns the sequence number that the next record should have.
+func (x *Index) NextSeq() uint64 { return x.next }
 
 // OpenRequests returns the number of requests of which more records may follow.
 func (x *Index) OpenRequests() int { return len(x.open) }
--- a/internal/ledger/requesthistory/keys.go
+++ b/internal/ledger/requesthistory/keys.go
@@ -16,10 +16,10 @@
 	MaxError time.Duration
 }
 
-// Ago returns bounds of the time that has passed since a moment of an incarnation. Within one boot of the machine the monotonic
+// Elapsed returns bounds of the time that has passed since a moment of an incarnation. Within one boot of the machine the monotonic
 // clock gives the exact time. Across a reboot the bounds come from the wall clock, with an error of MaxError. Then ok is false
 // if the moment is in the future by more than MaxError.
-func (c Clock) Ago(i *Incarnation, at time.Duration) (shortest, longest time.Duration, ok bool) {
+func (c Clock) Elapsed(i *Incarnation, at time.Duration) (shortest, longest time.Duration, ok bool) {
 	if i.BootID != "" && i.BootID == c.BootID {
 		ago := max(c.SinceBoot-i.StartedSinceBoot-at, 0)
 		return ago, ago, true
@@ -40,7 +40,7 @@
 	}
 	for _, a := range r.PossiblyExecuted() {
 		terms := idempotency.Terms{Scope: lbpolicy.Scope(a.Scope), Window: a.Window, Retention: a.Retention}
-		shortest, longest, ok := now.Ago(r.Incarnation, a.SentAt)
+		shortest, longest, ok := now.Elapsed(r.Incarnation, a.SentAt)
 		if shortest >= a.Window+a.Retention {
 			continue
 		}
@@ -68,7 +68,7 @@
 	}
 	shortest := time.Duration(0)
 	if l.Incarnation != nil {
-		if ago, _, ok := now.Ago(l.Incarnation, l.At); ok {
+		if ago, _, ok := now.Elapsed(l.Incarnation, l.At); ok {
 			shortest = ago
 		}
 	}
--- a/internal/ledger/requesthistory/request.go
+++ b/internal/ledger/requesthistory/request.go
@@ -88,7 +88,7 @@
 	Cell              int
 	Scope             uint8
 	Window, Retention time.Duration
-	Intended          bool // the Intent record of the attempt exists
+	HasIntent         bool // the Intent record of the attempt exists
 	SentAt            time.Duration
 	Ended             bool
 	EndedAt           time.Duration
@@ -99,7 +99,7 @@
 }
 
 // mayHaveRun reports whether nothing proves that the attempt did not run.
-func (a *Attempt) mayHaveRun() bool { return a.Intended && (!a.Ended || !a.NeverRan) }
+func (a *Attempt) mayHaveRun() bool { return a.HasIntent && (!a.Ended || !a.NeverRan) }
 
 // verdictOK is the verdict of a successful attempt.
 const verdictOK = "ok"
@@ -121,7 +121,7 @@
 type Request struct {
 	Incarnation *Incarnation
 	Number      uint64
-	Known       bool // the Received record exists
+	HasReceived bool // the Received record exists
 	ID, Class   string
 	Key         string
 	Tenant      string
@@ -131,7 +131,7 @@
 	ReceivedAt  time.Duration
 	TimeLeft    time.Duration
 	Attempts    []Attempt // in the order of their numbers
-	Answered    bool      // the Final record exists
+	HasFinal    bool      // the Final record exists
 	AnsweredAt  time.Duration
 	Ending      segment.Ending
 	Status      int
@@ -148,9 +148,9 @@
 		executed = executed || r.Attempts[i].executed()
 		mayHaveRun = mayHaveRun || r.Attempts[i].mayHaveRun()
 	}
-	wasRejected := r.Answered && r.Ending == segment.Rejected
+	wasRejected := r.HasFinal && r.Ending == segment.Rejected
 	switch {
-	case r.Answered && r.Ending == segment.Served:
+	case r.HasFinal && r.Ending == segment.Served:
 		return Served
 	case r.Incarnation.Running && r.hasUnrecordedEnd():
 		return InProgress
@@ -160,7 +160,7 @@
 		return MayHaveRun
 	case r.RecordsLost && !wasRejected:
 		return Unclear // the record of an attempt may be lost
-	case wasRejected || r.Answered && r.Ending == segment.KeyConflict:
+	case wasRejected || r.HasFinal && r.Ending == segment.KeyConflict:
 		return Rejected
 	}
 	return NeverRan
@@ -168,7 +168,7 @@
 
 // hasUnrecordedEnd reports whether the end of the request or of an attempt is not recorded.
 func (r *Request) hasUnrecordedEnd() bool {
-	return !r.Answered || slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return !a.Ended })
+	return !r.HasFinal || slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return !a.Ended })
 }
 
 // PossiblyExecuted returns the attempts that may have run.
@@ -193,10 +193,10 @@
 
 // isComplete reports whether no more records of the request can follow.
 func (r *Request) isComplete() bool {
-	if !r.Known || !r.Answered {
+	if !r.HasReceived || !r.HasFinal {
 		return false
 	}
-	return !slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return !a.Ended || !a.Intended && !a.NeverRan })
+	return !slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return !a.Ended || !a.HasIntent && !a.NeverRan })
 }
 
 // apply updates the request from one of its records.
@@ -206,7 +206,7 @@
 		r.applyReceived(record)
 	case segment.Intent:
 		a := r.attempt(record.Attempt)
-		a.Intended = true
+		a.HasIntent = true
 		a.Endpoint, a.Cluster, a.Zone, a.Cell = record.Endpoint, record.Cluster, record.Zone, record.Cell
 		a.Scope, a.Window, a.Retention = record.Scope, record.Window, record.Retention
 		a.SentAt = record.At
@@ -216,13 +216,13 @@
 		a.NeverRan, a.Responded = record.NeverRan, record.Responded
 		a.Verdict, a.Status = record.Verdict, record.Status
 	case segment.Final:
-		r.Answered, r.AnsweredAt = true, record.At
+		r.HasFinal, r.AnsweredAt = true, record.At
 		r.Ending, r.Status = record.Ending, record.Status
 	}
 }
 
 func (r *Request) applyReceived(record *segment.Record) {
-	r.Known = true
+	r.HasReceived = true
 	r.ID = record.ID
 	r.Class = record.Class
 	r.Key, r.Tenant = record.Key, record.Tenant
--- a/internal/ledger/requesthistory/view.go
+++ b/internal/ledger/requesthistory/view.go
@@ -61,13 +61,13 @@
 		Host:         incarnation.Host,
 		Process:      fmt.Sprintf("%016x", incarnation.Process),
 	}
-	if r.Known {
+	if r.HasReceived {
 		v.Deadline = incarnation.Time(r.ReceivedAt + r.TimeLeft)
 	}
 	for n := range r.Attempts {
 		v.Attempts = append(v.Attempts, r.Attempts[n].view(incarnation))
 	}
-	if r.Answered {
+	if r.HasFinal {
 		at := incarnation.Time(r.AnsweredAt)
 		v.Answer, v.Status, v.AnsweredAt = r.Ending.String(), r.Status, &at
 	}
@@ -103,11 +103,11 @@
 	v := r.View()
 	var b strings.Builder
 	name := v.ID
-	if !r.Known {
+	if !r.HasReceived {
 		name = "a request whose beginning is lost"
 	}
 	fmt.Fprintf(&b, "%s: %s\n", name, strings.ToUpper(r.Verdict().String()))
-	if r.Known {
+	if r.HasReceived {
 		b.WriteString(v.origin())
 	}
 	for n, attempt := range v.Attempts {
@@ -140,7 +140,7 @@
 // text returns the line of Text about an attempt.
 func (a *Attempt) text(v AttemptView) string {
 	switch {
-	case !a.Intended:
+	case !a.HasIntent:
 		return fmt.Sprintf("  attempt %d: ended as %q; where it was sent is lost\n", v.Number, v.Outcome)
 	case !a.Ended:
 		return fmt.Sprintf("  attempt %d: to %s, sent at %s or not at all; no answer seen\n", v.Number, a.Location(), v.SentAt.Format(timeLayout))
@@ -164,9 +164,9 @@
 // answerText describes the response that the client got, if any.
 func (r *Request) answerText(v View) string {
 	switch {
-	case r.Answered && r.Status != 0:
+	case r.HasFinal && r.Status != 0:
 		return fmt.Sprintf("  the caller was told %d (%s) at %s\n", v.Status, v.Answer, v.AnsweredAt.Format(timeLayout))
-	case r.Answered:
+	case r.HasFinal:
 		return fmt.Sprintf("  no answer went out: %s, at %s\n", v.Answer, v.AnsweredAt.Format(timeLayout))
 	case r.Incarnation.Running:
 		return "  it has no answer yet\n"
--- a/internal/ledger/segment/segment.go
+++ b/internal/ledger/segment/segment.go
@@ -48,8 +48,8 @@
 	magic    = [8]byte{'S', 'T', 'L', 'E', 'D', 'G', 'E', 'R'}
 	crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-	// ErrForeign means that a file is not a segment, or that both copies of its header are damaged.
-	ErrForeign = errors.New("segment: no header that can be read")
+	// ErrInvalidHeader means that a file is not a segment, or that both copies of its header are damaged.
+	ErrInvalidHeader = errors.New("segment: no header that can be read")
 	// ErrUnsupportedVersion means that the segment has a newer format version.
 	ErrUnsupportedVersion = errors.New("segment: of a newer format")
 )
@@ -88,7 +88,7 @@
 // parseHeader parses one copy of a header, and returns its size.
 func parseHeader(b []byte) (h Header, size int, err error) {
 	if len(b) < prologueBytes || !bytes.Equal(b[:len(magic)], magic[:]) {
-		return h, 0, ErrForeign
+		return h, 0, ErrInvalidHeader
 	}
 	version := binary.LittleEndian.Uint16(b[versionOffset:])
 	length := int(binary.LittleEndian.Uint32(b[lengthOffset:]))
@@ -96,13 +96,13 @@
 		return h, 0, fmt.Errorf("%w: %d", ErrUnsupportedVersion, version)
 	}
 	if length > maxHeaderBytes || len(b) < prologueBytes+padded(length) {
-		return h, 0, ErrForeign
+		return h, 0, ErrInvalidHeader
 	}
 	salt := binary.LittleEndian.Uint64(b[saltOffset:])
 	fields := b[prologueBytes : prologueBytes+length]
 	isValid := binary.LittleEndian.Uint32(b[checksumOffset:]) == checksum(salt, b[:checksumOffset], fields)
 	if version == 0 || !isValid || h.parse(fields) != nil {
-		return h, 0, ErrForeign
+		return h, 0, ErrInvalidHeader
 	}
 	h.Salt = salt
 	return h, prologueBytes + padded(length), nil
--- a/internal/ledger/segment/segment_test.go
+++ b/internal/ledger/segment/segment_test.go
@@ -107,7 +107,7 @@
 		t.Helper()
 		got, s, err := scanAll(bytes.NewReader(b))
 		if err != nil {
-			if !errors.Is(err, ErrForeign) && !errors.Is(err, ErrUnsupportedVersion) || maxLost == 0 {
+			if !errors.Is(err, ErrInvalidHeader) && !errors.Is(err, ErrUnsupportedVersion) || maxLost == 0 {
 				t.Fatalf("%s at byte %d: unexpected error %v", damage, at, err)
 			}
 			return
@@ -155,8 +155,8 @@
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"empty": {nil, ErrForeign}, "short": {make([]byte, 31), ErrForeign}, "text": {bytes.Repeat([]byte("hello "), 1000), ErrForeign},
-		"a huge header": {append(append([]byte{}, magic[:]...), bytes.Repeat([]byte{1, 0, 0xff, 0xff}, 100)...), ErrForeign}} {
+	}{"empty": {nil, ErrInvalidHeader}, "short": {make([]byte, 31), ErrInvalidHeader}, "text": {bytes.Repeat([]byte("hello "), 1000), ErrInvalidHeader},
+		"a huge header": {append(append([]byte{}, magic[:]...), bytes.Repeat([]byte{1, 0, 0xff, 0xff}, 100)...), ErrInvalidHeader}} {
 		if _, err := NewScanner(bytes.NewReader(c.b)); !errors.Is(err, c.want) {
 			t.Errorf("%s: got error %v, want the one for an invalid header", name, err)
 		}
--- a/internal/platform/sidecar/exchange.go
+++ b/internal/platform/sidecar/exchange.go
@@ -79,7 +79,7 @@
 	}
 	class := x.class()
 	terms := idempotency.Terms{Scope: class.Scope, Window: class.Window, Retention: class.Deadline}
-	key := &engine.Key{History: x.keyRequest, Terms: terms}
+	key := &engine.Key{Request: x.keyRequest, Terms: terms}
 	if process := x.router.handover.Load(); process != nil {
 		key.Claimer = &keyClaimer{process: process, id: x.keyID, terms: terms}
 	}
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -121,8 +121,8 @@
 	return lbpolicy.ServerProgress{}
 }
 
-// WaitsSince implements lbpolicy.Host. It is always zero, because the simulator sends each attempt at the time of the decision.
-func (h host) WaitsSince(lbpolicy.RequestID, int) time.Duration { return 0 }
+// WaitingSince implements lbpolicy.Host. It is always zero, because the simulator sends each attempt at the time of the decision.
+func (h host) WaitingSince(lbpolicy.RequestID, int) time.Duration { return 0 }
 
-// Hedged implements lbpolicy.Host. The simulator does not count hedged requests.
-func (h host) Hedged(lbpolicy.Hedge) {}
+// RecordHedge implements lbpolicy.Host. The simulator does not count hedged requests.
+func (h host) RecordHedge(lbpolicy.Hedge) {}
--- a/internal/testkit/hollow/joined.go
+++ b/internal/testkit/hollow/joined.go
@@ -63,7 +63,7 @@
 	j.fleet, err = fleet.Start(fleet.Options{FleetName: FleetName, Name: name, Listen: t.Addr(), Seeds: seeds, Keyring: [][]byte{Key()}, MaxMembers: most, MaxKeys: 1 << 10, NewFleet: true,
 		Views: true, Versions: true, RolloutTimeout: 10 * time.Second, MaxDeadline: 2 * time.Second, KeyRetention: 10 * time.Second, Log: slog.New(slog.DiscardHandler),
 		Transport: &countingTransport{t, sent}, AppliedVersions: func() []version.Entry {
-			return []version.Entry{{Kind: version.List, Name: listName, Hash: hashOf(int(j.generation.Load()))}}
+			return []version.Entry{{Kind: version.EndpointList, Name: listName, Hash: hashOf(int(j.generation.Load()))}}
 		}})
 	return j, err
 }
@@ -98,7 +98,7 @@
 		v, _ := j.fleet.Versions()
 		n := 0
 		for _, m := range v.Members {
-			if e, ok := m.Vector.Find(version.List, listName); ok && e.Hash == want {
+			if e, ok := m.Vector.Find(version.EndpointList, listName); ok && e.Hash == want {
 				n++
 			}
 		}
--- a/lbpolicy/api.go
+++ b/lbpolicy/api.go
@@ -196,12 +196,12 @@
 // ServerProgress describes the attempts at a server whose Outcomes have not been processed yet, as seen on
 // the host's connections.
 type ServerProgress struct {
-	// HasUnreadAnswer means that a response has arrived which the host has not read yet, or has read without
+	// HasUnreadResponse means that a response has arrived which the host has not read yet, or has read without
 	// its call of Outcome having returned.
-	HasUnreadAnswer bool
-	// WaitsSince is the earliest result of Host.WaitsSince for these attempts, apart from those whose
+	HasUnreadResponse bool
+	// WaitingSince is the earliest result of Host.WaitingSince for these attempts, apart from those whose
 	// dispatch is pending. Zero: there is no such attempt.
-	WaitsSince time.Duration
+	WaitingSince time.Duration
 }
 
 // HedgeReason tells why a request got another attempt while one was in flight.
@@ -246,12 +246,12 @@
 	SetTimer(at time.Duration, token uint64)
 	// ServerProgress describes the attempts in flight at a server.
 	ServerProgress(ServerID) ServerProgress
-	// WaitsSince returns the time since which an attempt in flight has been waiting for its server: for a
+	// WaitingSince returns the time since which an attempt in flight has been waiting for its server: for a
 	// connection, or for the response since the request was written. While the attempt waits for the host, it
 	// returns the present time. A host that sends attempts as soon as they are decided on returns zero.
-	WaitsSince(id RequestID, attempt int) time.Duration
-	// Hedged announces that the next Send starts a hedged request.
-	Hedged(Hedge)
+	WaitingSince(id RequestID, attempt int) time.Duration
+	// RecordHedge announces that the next Send starts a hedged request.
+	RecordHedge(Hedge)
 	// Log adds a line to the log.
 	Log(string)
 }
--- a/lbpolicy/attempt.go
+++ b/lbpolicy/attempt.go
@@ -311,7 +311,7 @@
 	}
 	if s := b.pick(now, r); s != nil {
 		b.retryBudget--
-		b.host.Hedged(b.describeHedge(now, r, number))
+		b.host.RecordHedge(b.describeHedge(now, r, number))
 		b.send(now, r, s)
 	}
 }
@@ -325,11 +325,11 @@
 // postponeCheck postpones the check of an attempt, and reports whether it did, if this process is late and
 // not the server: the attempt was sent some time after the decision, or a response waits to be read.
 func (b *Balancer) postponeCheck(now time.Duration, r *request, number int) bool {
-	since, wait := b.host.WaitsSince(r.id, number), r.checkAt-r.checkFrom
+	since, wait := b.host.WaitingSince(r.id, number), r.checkAt-r.checkFrom
 	switch {
 	case since > r.checkFrom+sendDelay && now < since+wait:
 		r.checkFrom, r.checkAt = since, since+wait
-	case b.host.ServerProgress(r.attempts[number].server.ID).HasUnreadAnswer:
+	case b.host.ServerProgress(r.attempts[number].server.ID).HasUnreadResponse:
 		r.checkAt = now + unreadCheckDelay
 	default:
 		return false
--- a/lbpolicy/balancer.go
+++ b/lbpolicy/balancer.go
@@ -20,7 +20,7 @@
 	thresholdHeadroom       = 2.0  // the least T1, as a multiple of the requests in flight at low load
 	maxQueueShare           = 0.75 // of the latency objective: T1 admits requests until they take this long
 	periodShare             = 0.2  // of the objective: a step must take effect before the next one
-	minThreshold            = 4.0  // requests added to T1: with few requests, measured rates are noisy
+	thresholdOffset         = 4.0  // requests added to T1: with few requests, measured rates are noisy
 	targetUtilization       = 0.92
 	targetLatencyShare      = 0.6              // of the objective, as some requests take twice the mean
 	serverFullWeight        = 2.0              // load added per ratio of attempts that servers reject as full
@@ -57,7 +57,7 @@
 	latency           float64 // smoothed, in seconds; 0: no response yet
 	utilization       float64
 	reportedAt        time.Duration
-	waited            float64       // seconds since the last response, summed over the waiting requests
+	summedWait        float64       // seconds since the last response, summed over the waiting requests
 	unansweredSeconds float64       // since the last response, while at least one request waited
 	waitedAt          time.Duration // when both were last updated
 	lastResponseAt    time.Duration
--- a/lbpolicy/balancer_test.go
+++ b/lbpolicy/balancer_test.go
@@ -30,15 +30,15 @@
 	h.record("send %d %d", id, s)
 	h.sends = append(h.sends, s)
 }
-func (h *recorder) Reject(id RequestID, _ time.Duration)    { h.record("refuse %d", id) }
-func (h *recorder) Fail(id RequestID)                       { h.record("fail %d", id) }
-func (h *recorder) Cancel(id RequestID, n int)              { h.record("cancel %d %d", id, n) }
-func (h *recorder) CloseIdle(s ServerID)                    { h.record("close %d", s) }
-func (h *recorder) Watch()                                  { h.record("watch") }
-func (h *recorder) Log(text string)                         {}
-func (h *recorder) ServerProgress(ServerID) ServerProgress  { return ServerProgress{} }
-func (h *recorder) WaitsSince(RequestID, int) time.Duration { return 0 }
-func (h *recorder) Hedged(Hedge)                            {}
+func (h *recorder) Reject(id RequestID, _ time.Duration)      { h.record("refuse %d", id) }
+func (h *recorder) Fail(id RequestID)                         { h.record("fail %d", id) }
+func (h *recorder) Cancel(id RequestID, n int)                { h.record("cancel %d %d", id, n) }
+func (h *recorder) CloseIdle(s ServerID)                      { h.record("close %d", s) }
+func (h *recorder) Watch()                                    { h.record("watch") }
+func (h *recorder) Log(text string)                           {}
+func (h *recorder) ServerProgress(ServerID) ServerProgress    { return ServerProgress{} }
+func (h *recorder) WaitingSince(RequestID, int) time.Duration { return 0 }
+func (h *recorder) RecordHedge(Hedge)                         {}
 func (h *recorder) SetTimer(at time.Duration, token uint64) {
 	if h.timers == nil {
 		h.timers = map[uint64]time.Duration{}
@@ -403,7 +403,7 @@
 	b, _ := newBalancer(t, testSettings(), readyServers(4)...)
 	small := b.threshold(9*sec, 4)
 	b.slowRate = 300
-	if large := b.threshold(9*sec, 4); small < minThreshold || large < 300*maxQueueShare {
+	if large := b.threshold(9*sec, 4); small < thresholdOffset || large < 300*maxQueueShare {
 		t.Fatalf("T1 is %v without traffic and %v at 300 answers per second, want at least minThreshold and 300*maxQueueShare", small, large)
 	}
 }
@@ -1043,8 +1043,8 @@
 		for now := sec; now < 6*sec; now += sec / 10 {
 			b.advance(now)
 		}
-		if s.ejected == pending || (s.waited == 0 && !s.ejected) != pending {
-			t.Errorf("dispatch pending %t: ejected %t, counted wait %v", pending, s.ejected, s.waited)
+		if s.ejected == pending || (s.summedWait == 0 && !s.ejected) != pending {
+			t.Errorf("dispatch pending %t: ejected %t, counted wait %v", pending, s.ejected, s.summedWait)
 		}
 		for i := range RequestID(8) {
 			b.Outcome(6*sec, Outcome{ID: i + 1, Server: 1, Verdict: NotSent, Final: true})
--- a/lbpolicy/example_test.go
+++ b/lbpolicy/example_test.go
@@ -21,8 +21,8 @@
 func (printer) ServerProgress(lbpolicy.ServerID) lbpolicy.ServerProgress {
 	return lbpolicy.ServerProgress{}
 }
-func (printer) WaitsSince(lbpolicy.RequestID, int) time.Duration { return 0 }
-func (printer) Hedged(lbpolicy.Hedge)                            {}
+func (printer) WaitingSince(lbpolicy.RequestID, int) time.Duration { return 0 }
+func (printer) RecordHedge(lbpolicy.Hedge)                         {}
 
 func Example() {
 	settings := lbpolicy.Settings{
--- a/lbpolicy/health.go
+++ b/lbpolicy/health.go
@@ -51,12 +51,12 @@
 // ejection, and minUnresponsiveWait counts from the first write.
 func (b *Balancer) ejectIfUnresponsive(now time.Duration, s *server) {
 	usual := b.usualLatency() / max(b.capacity(now, s), minCapacity)
-	unresponsive := s.waited > unresponsiveMultiple*usual && s.unansweredSeconds > minUnresponsiveWait*usual
+	unresponsive := s.summedWait > unresponsiveMultiple*usual && s.unansweredSeconds > minUnresponsiveWait*usual
 	if !unresponsive || !s.mayEject(now) {
 		return
 	}
 	progress := b.host.ServerProgress(s.ID)
-	if !progress.HasUnreadAnswer && now-progress.WaitsSince > duration(minUnresponsiveWait*usual) {
+	if !progress.HasUnreadResponse && now-progress.WaitingSince > duration(minUnresponsiveWait*usual) {
 		b.eject(now, s, describeSilence(now, s, progress))
 	}
 }
@@ -107,7 +107,7 @@
 	case Timeout, Cancelled:
 		probed := s.ejected && now >= s.ejectedUntil
 		waitedLongEnough := o.Latency.Seconds() > usual && s.lastResponseAt < now-o.Latency
-		if probed && waitedLongEnough && !b.host.ServerProgress(s.ID).HasUnreadAnswer {
+		if probed && waitedLongEnough && !b.host.ServerProgress(s.ID).HasUnreadResponse {
 			b.eject(now, s, "silent")
 		}
 	}
--- a/lbpolicy/pause_test.go
+++ b/lbpolicy/pause_test.go
@@ -195,22 +195,22 @@
 		if a.server != s {
 			continue
 		}
-		progress.HasUnreadAnswer = progress.HasUnreadAnswer || a.answeredAt > 0 && a.answeredAt <= p.now
-		if sentAt := p.WaitsSince(key.request, key.attempt); progress.WaitsSince == 0 || sentAt < progress.WaitsSince {
-			progress.WaitsSince = sentAt
+		progress.HasUnreadResponse = progress.HasUnreadResponse || a.answeredAt > 0 && a.answeredAt <= p.now
+		if sentAt := p.WaitingSince(key.request, key.attempt); progress.WaitingSince == 0 || sentAt < progress.WaitingSince {
+			progress.WaitingSince = sentAt
 		}
 	}
 	return progress
 }
 
-func (p *pausePool) WaitsSince(id RequestID, attempt int) time.Duration {
+func (p *pausePool) WaitingSince(id RequestID, attempt int) time.Duration {
 	if a := p.inFlight[attemptKey{id, attempt}]; a != nil && a.writtenAt > 0 {
 		return a.writtenAt
 	}
 	return p.now
 }
 
-func (p *pausePool) Hedged(Hedge) {}
+func (p *pausePool) RecordHedge(Hedge) {}
 
 func (p *pausePool) Log(line string) {
 	var id ServerID
--- a/lbpolicy/report.go
+++ b/lbpolicy/report.go
@@ -27,8 +27,8 @@
 // describeSilence returns the reason for an ejection in the log: the time without a response, the summed wait
 // of all requests, and the longest wait.
 func describeSilence(now time.Duration, s *server, progress ServerProgress) string {
-	longest := now - progress.WaitsSince
-	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.unansweredSeconds, s.waited, longest.Seconds())
+	longest := now - progress.WaitingSince
+	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.unansweredSeconds, s.summedWait, longest.Seconds())
 }
 
 // describeHedge describes a hedged request before it is sent. The attempt in flight has the number n.
--- a/lbpolicy/table.go
+++ b/lbpolicy/table.go
@@ -83,7 +83,7 @@
 		return math.Inf(1)
 	}
 	queueSeconds := max(thresholdHeadroom*b.baseLatency, maxQueueShare*b.levelObjectives[level])
-	fullThreshold := max(b.fastRate, b.slowRate)*queueSeconds + minThreshold
+	fullThreshold := max(b.fastRate, b.slowRate)*queueSeconds + thresholdOffset
 	return b.table[level][b.cursor] * fullThreshold
 }
 
