--- a/internal/edge/frontend/acceptor.go
+++ b/internal/edge/frontend/acceptor.go
@@ -25,7 +25,7 @@
 	mu         sync.Mutex
 	controller *admission.Controller
 	undecided  int  // connections that were accepted and wait in admit
-	ticking    bool // tick is scheduled
+	tickScheduled    bool // tick is scheduled
 
 	// spareDescriptor is given up so that a connection can be accepted, if only to be rejected, while there is no other descriptor. It
 	// belongs to the accepting goroutine.
@@ -86,8 +86,8 @@
 func (a *acceptor) tick() {
 	a.mu.Lock()
 	admitWaiting := a.admitWaiting()
-	a.ticking = a.controller.Waiting() > 0
-	if a.ticking {
+	a.tickScheduled = a.controller.Waiting() > 0
+	if a.tickScheduled {
 		time.AfterFunc(admitInterval, a.tick)
 	}
 	a.mu.Unlock()
@@ -180,8 +180,8 @@
 	v := a.controller.Admit(time.Now(), c.remoteIP, c.tlsConfig != nil, c)
 	c.slot = v.Conn
 	c.mustIdentify = v.MustIdentify
-	if v.Waiting && !a.ticking {
-		a.ticking = true
+	if v.Waiting && !a.tickScheduled {
+		a.tickScheduled = true
 		time.AfterFunc(admitInterval, a.tick)
 	}
 	switch {
--- a/internal/edge/frontend/body.go
+++ b/internal/edge/frontend/body.go
@@ -83,14 +83,14 @@
 			return err
 		}
 	}
-	if err := c.requestBody(); err != nil {
+	if err := c.sendContinueIfExpected(); err != nil {
 		return err
 	}
 	stream := newBodyStream(c, size, maxBytes)
 	if err := b.fill(stream, capacity); err != nil {
 		return err
 	}
-	if stream.isOver() && len(b.bytes) <= maxBufferedBody {
+	if stream.isFullyReceived() && len(b.bytes) <= maxBufferedBody {
 		return nil
 	}
 	if maxBytes <= maxBufferedBody { // there is more than is allowed
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// requestBody asks for the body of a client that waits for it (Expect: 100-continue, RFC 9110, 10.1.1).
-func (c *clientConn) requestBody() error {
+// sendContinueIfExpected asks for the body of a client that waits for it (Expect: 100-continue, RFC 9110, 10.1.1).
+func (c *clientConn) sendContinueIfExpected() error {
 	if !c.expectsContinue {
 		return nil
 	}
@@ -120,7 +120,7 @@
 	} else {
 		b.bytes = make([]byte, 0, min(capacity, firstBodyBuffer))
 	}
-	for !stream.isOver() && int64(len(b.bytes)) < capacity {
+	for !stream.isFullyReceived() && int64(len(b.bytes)) < capacity {
 		if len(b.bytes) == cap(b.bytes) {
 			grown := make([]byte, len(b.bytes), min(2*cap(b.bytes), maxBufferedBody))
 			copy(grown, b.bytes)
@@ -132,7 +132,7 @@
 			return err
 		}
 	}
-	if stream.isOver() || stream.length >= 0 {
+	if stream.isFullyReceived() || stream.length >= 0 {
 		return nil
 	}
 	var next [1]byte // of a body whose length is not known: another byte, or its end
--- a/internal/edge/frontend/bodystream.go
+++ b/internal/edge/frontend/bodystream.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// isOver reports whether the body was received completely.
-func (s *BodyStream) isOver() bool {
+// isFullyReceived reports whether the body was received completely.
+func (s *BodyStream) isFullyReceived() bool {
 	if s.chunkDecoder != nil {
 		return s.chunkDecoder.IsComplete()
 	}
@@ -74,12 +74,12 @@
 func (s *BodyStream) IsComplete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.err == nil && s.isOver()
+	return s.err == nil && s.isFullyReceived()
 }
 
 func (s *BodyStream) read(p []byte) (n int, err error) {
 	c := s.conn
-	for n == 0 && !s.isOver() && len(p) > 0 {
+	for n == 0 && !s.isFullyReceived() && len(p) > 0 {
 		if len(c.input) == 0 {
 			if err := s.fill(); err != nil {
 				return 0, err
--- a/internal/edge/frontend/clientconn.go
+++ b/internal/edge/frontend/clientconn.go
@@ -145,8 +145,8 @@
 	c.lingers = true
 }
 
-// skipBody discards the body of a request that is answered without it. A part that was not received yet is not awaited.
-func (c *clientConn) skipBody() {
+// discardBody discards the body of a request that is answered without it. A part that was not received yet is not awaited.
+func (c *clientConn) discardBody() {
 	n := c.request.ContentLength
 	if n == 0 {
 		return
--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -36,21 +36,21 @@
 // countingConn is a connection as the sidecar has it. What is read of it can be held back.
 type countingConn struct {
 	*net.TCPConn
-	hold atomic.Pointer[chan struct{}] // what has been read waits for its end; nil: nothing waits
+	readGate atomic.Pointer[chan struct{}] // what has been read waits for its end; nil: nothing waits
 	read atomic.Int64                  // bytes
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if hold := c.hold.Load(); hold != nil && n > 0 {
+	if hold := c.readGate.Load(); hold != nil && n > 0 {
 		<-*hold
 	}
 	c.read.Add(int64(n))
 	return n, err
 }
 
-// over tells whether the client's end has come to the sidecar's socket, whatever stands before it.
-func (c *countingConn) over() (over bool) {
+// isPeerClosed tells whether the client's end has come to the sidecar's socket, whatever stands before it.
+func (c *countingConn) isPeerClosed() (over bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -67,8 +67,8 @@
 // listener hands on the connections that it takes.
 type listener struct {
 	net.Listener
-	hold  atomic.Pointer[chan struct{}] // of connections that come from now on
-	taken chan *countingConn
+	readGate  atomic.Pointer[chan struct{}] // of connections that come from now on
+	accepted chan *countingConn
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -77,8 +77,8 @@
 		return nil, err
 	}
 	t := &countingConn{TCPConn: c.(*net.TCPConn)}
-	t.hold.Store(l.hold.Load())
-	l.taken <- t
+	t.readGate.Store(l.readGate.Load())
+	l.accepted <- t
 	return t, nil
 }
 
@@ -86,27 +86,27 @@
 type testServer struct {
 	*frontend.Server
 	*listener
-	host   *engine.Engine
+	engine   *engine.Engine
 	client *upstream.Client
 	addr   string
-	secure *tls.Config // of clients; nil: plain
+	clientTLS *tls.Config // of clients; nil: plain
 
-	dial atomic.Pointer[func(context.Context) error] // before each connection to an endpoint
+	beforeDial atomic.Pointer[func(context.Context) error] // before each connection to an endpoint
 
 	mu   sync.Mutex
-	came []string // requests' ids, at the endpoints
+	arrivedIDs []string // requests' ids, at the endpoints
 }
 
-func (d *testServer) got() []string {
+func (d *testServer) requestIDs() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.came)
+	return slices.Clone(d.arrivedIDs)
 }
 
-// open starts one; serve, where it is not nil, answers in place of the endpoints' 200.
-func open(t *testing.T, maxConns int, bodies int64, secure bool, serve func(*lbtest.Arrival)) *testServer {
+// startTestServer starts one; serve, where it is not nil, answers in place of the endpoints' 200.
+func startTestServer(t *testing.T, maxConns int, bodies int64, secure bool, serve func(*lbtest.Arrival)) *testServer {
 	t.Helper()
-	d := &testServer{listener: &listener{Listener: lbtest.Listen(t), taken: make(chan *countingConn, 64)}}
+	d := &testServer{listener: &listener{Listener: lbtest.Listen(t), accepted: make(chan *countingConn, 64)}}
 	d.addr = d.Addr().String()
 	c, err := config.Load(lbtest.WriteConfig(t, "", d.addr, "127.0.0.1:1"))
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 	quiet := slog.New(slog.DiscardHandler)
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		if before := d.dial.Load(); before != nil {
+		if before := d.beforeDial.Load(); before != nil {
 			if err := (*before)(ctx); err != nil {
 				return nil, err
 			}
@@ -122,7 +122,7 @@
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}
 	d.client = upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: time.Second, MaxConns: 64, Dial: dial, HedgeDials: true, MaxStreamBytes: sidecar.MaxBodyBytes})
-	d.host, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {}, Client: d.client, Log: quiet})
+	d.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {}, Client: d.client, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 	for i := range 2 {
 		e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
 			d.mu.Lock()
-			d.came = append(d.came, a.Request.Header.Get("X-Request-ID"))
+			d.arrivedIDs = append(d.arrivedIDs, a.Request.Header.Get("X-Request-ID"))
 			d.mu.Unlock()
 			if serve != nil {
 				serve(a)
@@ -140,8 +140,8 @@
 		})
 		list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("s", i), Address: e.Addr, Zone: "a", Status: "ready"})
 	}
-	d.host.UpdateEndpoints(lbpolicy.Full, list)
-	d.Server = frontend.New(sidecar.NewRouter(c, d.host, &counters.Set{}, bodies), d.listener, admission.SingleGroup(maxConns), log.New(io.Discard, "", 0))
+	d.engine.UpdateEndpoints(lbpolicy.Full, list)
+	d.Server = frontend.New(sidecar.NewRouter(c, d.engine, &counters.Set{}, bodies), d.listener, admission.SingleGroup(maxConns), log.New(io.Discard, "", 0))
 	if secure {
 		dir := t.TempDir()
 		a, err := fake.NewAuthority(dir, "authority")
@@ -157,7 +157,7 @@
 			t.Fatal(err)
 		}
 		d.SetTLS(by)
-		d.secure = &tls.Config{InsecureSkipVerify: true} // the stand-in's own
+		d.clientTLS = &tls.Config{InsecureSkipVerify: true} // the stand-in's own
 	}
 	d.SetReady()
 	go d.Serve()
@@ -169,20 +169,20 @@
 type testClient struct {
 	*lbtest.Client
 	tcp  *net.TCPConn
-	here *countingConn
+	serverConn *countingConn
 }
 
-func (d *testServer) call(t *testing.T, text string) *testClient {
+func (d *testServer) connectAndSend(t *testing.T, text string) *testClient {
 	t.Helper()
 	c := &testClient{Client: lbtest.Dial(t, d.addr)}
 	c.tcp = c.Client.Conn.(*net.TCPConn)
 	select {
-	case c.here = <-d.taken:
+	case c.serverConn = <-d.accepted:
 	case <-time.After(lbtest.Wait):
 		t.Fatal("the connection is not taken")
 	}
-	if d.secure != nil {
-		c.Client = lbtest.NewClient(t, tls.Client(c.tcp, d.secure))
+	if d.clientTLS != nil {
+		c.Client = lbtest.NewClient(t, tls.Client(c.tcp, d.clientTLS))
 	}
 	c.Send(text)
 	return c
@@ -199,11 +199,11 @@
 	"ends it behind a request": func(c *testClient) { c.Send(lbtest.Get("behind")); c.tcp.CloseWrite() },
 }
 
-// waitingPlace is where a request waits. It has that of a client wait there; when go on is called the wait is over.
-type waitingPlace struct {
+// waitPoint is where a request waits. It has that of a client wait there; when go on is called the wait is over.
+type waitPoint struct {
 	conns  int
 	bodies int64
-	begun  int                   // attempts that have come to an endpoint before its client leaves
+	attemptsBefore  int                   // attempts that have come to an endpoint before its client leaves
 	serve  func(*lbtest.Arrival) // in place of the endpoints' 200
 	wait   func(t *testing.T, d *testServer) (c *testClient, release func())
 }
@@ -216,8 +216,8 @@
 		began <- struct{}{}
 		return during(ctx, gate)
 	}
-	d.dial.Store(&before)
-	c = d.call(t, text)
+	d.beforeDial.Store(&before)
+	c = d.connectAndSend(t, text)
 	<-began
 	return c, func() { close(gate) }
 }
@@ -233,10 +233,10 @@
 			return first(ctx)
 		}
 		began <- struct{}{}
-		return waitFor(ctx, gate)
+		return waitForGate(ctx, gate)
 	}
-	d.dial.Store(&before)
-	c = d.call(t, text)
+	d.beforeDial.Store(&before)
+	c = d.connectAndSend(t, text)
 	select {
 	case <-began:
 	case <-time.After(lbtest.Wait):
@@ -251,12 +251,12 @@
 func holdNextRead(t *testing.T, c *testClient, text string) (release func()) {
 	t.Helper()
 	gate := make(chan struct{})
-	c.here.hold.Store(&gate)
+	c.serverConn.readGate.Store(&gate)
 	c.Send(text)
 	return func() { close(gate) }
 }
 
-func waitFor(ctx context.Context, gate chan struct{}) error {
+func waitForGate(ctx context.Context, gate chan struct{}) error {
 	select {
 	case <-gate:
 		return nil
@@ -265,29 +265,29 @@
 	}
 }
 
-var waitingPlaces = map[string]waitingPlace{
+var waitPoints = map[string]waitPoint{
 	"a head that is read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		gate := make(chan struct{})
-		d.hold.Store(&gate)
-		c := d.call(t, lbtest.Get("left"))
-		d.hold.Store(nil)
+		d.readGate.Store(&gate)
+		c := d.connectAndSend(t, lbtest.Get("left"))
+		d.readGate.Store(nil)
 		return c, func() { close(gate) }
 	}},
 	"the next request of a kept connection, read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
-		c := d.call(t, lbtest.Get("first"))
+		c := d.connectAndSend(t, lbtest.Get("first"))
 		if status, _ := c.Response(); status != 200 {
 			t.Fatal(status)
 		}
 		gate := make(chan struct{})
-		c.here.hold.Store(&gate)
+		c.serverConn.readGate.Store(&gate)
 		c.Send(lbtest.Get("left"))
 		return c, func() { close(gate) }
 	}},
 	"a dial that comes up late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
-		return delayDial(t, d, lbtest.Get("left"), waitFor)
+		return delayDial(t, d, lbtest.Get("left"), waitForGate)
 	}},
 	"a descriptor": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
@@ -302,17 +302,17 @@
 	}},
 	"a dial while the process ends": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
-		c, release := delayDial(t, d, lbtest.Get("left"), waitFor)
+		c, release := delayDial(t, d, lbtest.Get("left"), waitForGate)
 		by := time.Now().Add(lbtest.Wait)
-		d.host.ShutDownBy(by)
+		d.engine.ShutDownBy(by)
 		go d.Shutdown(time.Now(), by)
 		return c, release
 	}},
 	"memory for its body": {bodies: 64 << 10, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		body := strings.Repeat("x", 40<<10)
-		first, release := delayDial(t, d, lbtest.Post("first", body), waitFor) // it has the memory
-		c := d.call(t, lbtest.Post("left", body))
+		first, release := delayDial(t, d, lbtest.Post("first", body), waitForGate) // it has the memory
+		c := d.connectAndSend(t, lbtest.Post("left", body))
 		return c, func() {
 			release()
 			if status, _ := first.Response(); status != 200 {
@@ -324,20 +324,20 @@
 	"a slow body, whose end is read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		text := lbtest.Post("left", strings.Repeat("x", 2000))
-		c := d.call(t, text[:len(text)-1000])
-		lbtest.Until(t, "its beginning is read", func() bool { return c.here.read.Load() == int64(len(text)-1000) })
+		c := d.connectAndSend(t, text[:len(text)-1000])
+		lbtest.Until(t, "its beginning is read", func() bool { return c.serverConn.read.Load() == int64(len(text)-1000) })
 		return c, holdNextRead(t, c, text[len(text)-1000:])
 	}},
 	"a dial, of an HTTP/1.0 caller": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
-		return delayDial(t, d, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1), waitFor)
+		return delayDial(t, d, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1), waitForGate)
 	}},
 	"a head of HTTP/1.0 that is read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		gate := make(chan struct{})
-		d.hold.Store(&gate)
-		c := d.call(t, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1))
-		d.hold.Store(nil)
+		d.readGate.Store(&gate)
+		c := d.connectAndSend(t, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1))
+		d.readGate.Store(nil)
 		return c, func() { close(gate) }
 	}},
 	"a second dial, while the first hangs": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
@@ -350,7 +350,7 @@
 	"the first dial, while the second hangs": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		gate := make(chan struct{})
-		c, end := delaySecondDial(t, d, lbtest.Get("left"), func(ctx context.Context) error { return waitFor(ctx, gate) })
+		c, end := delaySecondDial(t, d, lbtest.Get("left"), func(ctx context.Context) error { return waitForGate(ctx, gate) })
 		t.Cleanup(end)
 		return c, func() { close(gate) }
 	}},
@@ -360,26 +360,26 @@
 			return &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 		})
 	}},
-	"a retry's dial, after an endpoint that failed": {begun: 1, serve: func(a *lbtest.Arrival) {
+	"a retry's dial, after an endpoint that failed": {attemptsBefore: 1, serve: func(a *lbtest.Arrival) {
 		a.Write([]byte("HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 	}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		return delaySecondDial(t, d, lbtest.Get("left"), dialSucceeds)
 	}},
-	"a keyed request's retry": {begun: 1, serve: func(a *lbtest.Arrival) {
+	"a keyed request's retry": {attemptsBefore: 1, serve: func(a *lbtest.Arrival) {
 		a.Write([]byte("HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 	}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		return delaySecondDial(t, d, lbtest.Post("left", "x"), dialSucceeds)
 	}},
-	"a second copy, or the attempt after one that is silent": {begun: 1, serve: func(*lbtest.Arrival) {}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a second copy, or the attempt after one that is silent": {attemptsBefore: 1, serve: func(*lbtest.Arrival) {}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
 		return delaySecondDial(t, d, lbtest.Get("left"), dialSucceeds)
 	}},
 	"a slot of the listener": {conns: 1, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
 		t.Helper()
-		first, release := delayDial(t, d, lbtest.Get("first"), waitFor)
-		c := d.call(t, lbtest.Get("left"))
+		first, release := delayDial(t, d, lbtest.Get("first"), waitForGate)
+		c := d.connectAndSend(t, lbtest.Get("left"))
 		return c, func() {
 			release()
 			if status, _ := first.Response(); status != 200 {
@@ -394,7 +394,7 @@
 // end leaves nothing behind. Here the end stands on the sidecar's socket before the wait is over, every time.
 func TestLeftWhileWaiting(t *testing.T) {
 	t.Parallel()
-	for name, p := range waitingPlaces {
+	for name, p := range waitPoints {
 		for how, leave := range waysToDisconnect {
 			t.Run(name+"/"+how, func(t *testing.T) {
 				t.Parallel()
@@ -405,10 +405,10 @@
 				if p.bodies > 0 {
 					bodies = p.bodies
 				}
-				d := open(t, conns, bodies, false, p.serve)
+				d := startTestServer(t, conns, bodies, false, p.serve)
 				c, release := p.wait(t, d)
 				leave(c)
-				lbtest.Until(t, "the end has come", c.here.over)
+				lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
 				release()
 				if strings.HasPrefix(how, "ends") { // it still reads: one answer, which promises nothing
 					if status, _ := c.Response(); status < 400 || status == 429 || status == 503 {
@@ -419,8 +419,8 @@
 					}
 				}
 				expectReleased(t, d, "behind")
-				if got := d.got(); slices.Contains(got[:min(p.begun, len(got))], "behind") || slices.Contains(got[min(p.begun, len(got)):], "left") {
-					t.Errorf("endpoints got %q, of the one that left at most %d", got, p.begun)
+				if got := d.requestIDs(); slices.Contains(got[:min(p.attemptsBefore, len(got))], "behind") || slices.Contains(got[min(p.attemptsBefore, len(got)):], "left") {
+					t.Errorf("endpoints got %q, of the one that left at most %d", got, p.attemptsBefore)
 				}
 			})
 		}
@@ -430,8 +430,8 @@
 // expectReleased waits until nobody is there, and holds what came to the endpoints against what must not have.
 func expectReleased(t *testing.T, d *testServer, not ...string) {
 	t.Helper()
-	lbtest.Until(t, "no connection and no call is held", func() bool { return d.Conns() == 0 && d.host.InFlight() == 0 })
-	for _, id := range d.got() {
+	lbtest.Until(t, "no connection and no call is held", func() bool { return d.Conns() == 0 && d.engine.InFlight() == 0 })
+	for _, id := range d.requestIDs() {
 		if slices.Contains(not, id) {
 			t.Errorf("%q came to an endpoint", id)
 		}
@@ -445,11 +445,11 @@
 	for how, text := range map[string]string{"closes": "", "closes behind a request": behind, "closes behind many": strings.Repeat(behind, 100)} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, 8, 1<<20, true, nil)
-			c, release := delayDial(t, d, lbtest.Get("left"), waitFor)
+			d := startTestServer(t, 8, 1<<20, true, nil)
+			c, release := delayDial(t, d, lbtest.Get("left"), waitForGate)
 			c.Send(text)
 			c.Close()
-			lbtest.Until(t, "the end has come", c.here.over)
+			lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
 			release()
 			expectReleased(t, d, "left", "behind")
 		})
@@ -458,7 +458,7 @@
 		"notifies behind all that is looked at": strings.Repeat(behind, 15<<10/len(behind))} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, 8, 1<<20, true, nil)
+			d := startTestServer(t, 8, 1<<20, true, nil)
 			gaveUp := make(chan struct{}, 64)
 			c, release := delayDial(t, d, lbtest.Get("left"), func(ctx context.Context, gate chan struct{}) error {
 				<-ctx.Done() // its attempt is given up: the watch has read the end
@@ -484,8 +484,8 @@
 	}
 }
 
-// sent waits until all that a client has written stands at the other end.
-func (c *testClient) sent(t *testing.T) {
+// awaitDelivery waits until all that a client has written stands at the other end.
+func (c *testClient) awaitDelivery(t *testing.T) {
 	t.Helper()
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
@@ -509,15 +509,15 @@
 		"notifies behind all that is looked at": strings.Repeat(behind, 15<<10/len(behind))} {
 		t.Run("the next request, read late/"+how, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, 8, 1<<20, true, nil)
-			c := d.call(t, lbtest.Get("first"))
+			d := startTestServer(t, 8, 1<<20, true, nil)
+			c := d.connectAndSend(t, lbtest.Get("first"))
 			if status, _ := c.Response(); status != 200 {
 				t.Fatal(status)
 			}
 			release := holdNextRead(t, c, lbtest.Get("left"))
 			c.Send(text)
 			c.Conn.(*tls.Conn).CloseWrite()
-			c.sent(t)
+			c.awaitDelivery(t)
 			release()
 			if status, _ := c.Response(); status != 502 {
 				t.Errorf("answered %d", status)
@@ -526,13 +526,13 @@
 		})
 		t.Run("memory for its body/"+how, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, 8, 64<<10, true, nil)
+			d := startTestServer(t, 8, 64<<10, true, nil)
 			body := strings.Repeat("x", 40<<10)
-			first, release := delayDial(t, d, lbtest.Post("first", body), waitFor) // it has the memory
-			c := d.call(t, lbtest.Post("left", body))
+			first, release := delayDial(t, d, lbtest.Post("first", body), waitForGate) // it has the memory
+			c := d.connectAndSend(t, lbtest.Post("left", body))
 			c.Send(text)
 			c.Conn.(*tls.Conn).CloseWrite()
-			c.sent(t)
+			c.awaitDelivery(t)
 			release()
 			if status, _ := first.Response(); status != 200 {
 				t.Error("the one before it: ", status)
@@ -550,8 +550,8 @@
 func TestAheadUnderTLS(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{1, 20, 400} { // the last are more than is looked at
-		d := open(t, 8, 1<<20, true, nil)
-		first := d.call(t, lbtest.Get("first"))
+		d := startTestServer(t, 8, 1<<20, true, nil)
+		first := d.connectAndSend(t, lbtest.Get("first"))
 		if status, _ := first.Response(); status != 200 {
 			t.Fatal(status)
 		}
@@ -560,7 +560,7 @@
 			text.WriteString(lbtest.Get(fmt.Sprint("n", i)))
 		}
 		release := holdNextRead(t, first, text.String())
-		first.sent(t)
+		first.awaitDelivery(t)
 		release()
 		for i := range n {
 			if status, body := first.Response(); status != 200 || body != fmt.Sprint("answer to n", i) {
@@ -582,14 +582,14 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			arrived := make(chan *lbtest.Arrival, 64)
-			d := open(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
-			c := d.call(t, lbtest.Get("left"))
+			d := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
+			c := d.connectAndSend(t, lbtest.Get("left"))
 			first := <-arrived
 			leave(c)
-			lbtest.Until(t, "the end has come", c.here.over)
+			lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
 			first.Write([]byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"))
 			expectReleased(t, d, "behind")
-			if got := d.got(); len(got) != 1 {
+			if got := d.requestIDs(); len(got) != 1 {
 				t.Errorf("endpoints got %q", got)
 			}
 		})
@@ -600,21 +600,21 @@
 func TestLeftWithinBody(t *testing.T) {
 	t.Parallel()
 	const size, first = 100_000, 70_000 // more than is held whole, less than what a socket holds
-	d := open(t, 8, 1<<20, false, nil)
+	d := startTestServer(t, 8, 1<<20, false, nil)
 	began := make(chan struct{}, 64)
 	before := func(context.Context) error { //nolint:unparam // the type is that of a dial that may fail
 		began <- struct{}{}
 		return nil
 	}
-	d.dial.Store(&before)
-	c := d.call(t, lbtest.Head("POST", "write", "left", "Idempotency-Key: k", fmt.Sprintf("Content-Length: %d", size)))
+	d.beforeDial.Store(&before)
+	c := d.connectAndSend(t, lbtest.Head("POST", "write", "left", "Idempotency-Key: k", fmt.Sprintf("Content-Length: %d", size)))
 	c.Send(strings.Repeat("x", first))
 	<-began
 	gate := make(chan struct{})
-	c.here.hold.Store(&gate)
+	c.serverConn.readGate.Store(&gate)
 	c.Send(strings.Repeat("x", size-first))
 	c.Close()
-	lbtest.Until(t, "the end has come", c.here.over)
+	lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
 	close(gate)
 	expectReleased(t, d, "left") // endpoints take a request down once its body is whole
 }
--- a/internal/edge/frontend/hang_test.go
+++ b/internal/edge/frontend/hang_test.go
@@ -13,11 +13,11 @@
 	t.Parallel()
 	const requests = 4 // two at each endpoint
 	arrivals := make(chan *lbtest.Arrival, 2*requests)
-	d := open(t, 64, 1<<20, false, func(a *lbtest.Arrival) { arrivals <- a })
+	d := startTestServer(t, 64, 1<<20, false, func(a *lbtest.Arrival) { arrivals <- a })
 	clients := map[string]*testClient{}
 	for n := range requests {
 		id := fmt.Sprint("r", n)
-		clients[id] = d.call(t, lbtest.Get(id))
+		clients[id] = d.connectAndSend(t, lbtest.Get(id))
 	}
 	byEndpoint := map[string][]*lbtest.Arrival{}
 	for range requests {
--- a/internal/edge/frontend/protocol_test.go
+++ b/internal/edge/frontend/protocol_test.go
@@ -12,7 +12,7 @@
 // What the protocol asks of a server beside plain requests.
 func TestProtocol(t *testing.T) {
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	_, addr := serve(t, e.Addr, 32)
+	_, addr := startServer(t, e.Addr, 32)
 	for name, c := range map[string]struct {
 		text string
 		want string // what the answer begins with
@@ -57,7 +57,7 @@
 // Several requests written at once are answered one after the other, whatever the cuts between the writes.
 func TestPipelined(t *testing.T) {
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	_, addr := serve(t, e.Addr, 8)
+	_, addr := startServer(t, e.Addr, 8)
 	var text string
 	for i := range 20 {
 		if i%3 == 0 {
@@ -87,7 +87,7 @@
 // stays is not disturbed by the watch, and its next request is read whole.
 func TestCallerGoes(t *testing.T) {
 	e := lbtest.NewEndpoint(t, nil)
-	s, addr := serve(t, e.Addr, 8)
+	s, addr := startServer(t, e.Addr, 8)
 	goes, stays := lbtest.Dial(t, addr), lbtest.Dial(t, addr)
 	goes.Send(lbtest.Get("goes"))
 	left := <-e.Arrivals
--- a/internal/edge/frontend/receivetime_test.go
+++ b/internal/edge/frontend/receivetime_test.go
@@ -22,9 +22,9 @@
 type unreadRequest struct {
 	conns  int
 	bodies int64
-	secure bool
+	useTLS bool
 	body   int  // bytes; 0: a GET
-	queue  bool // on connections of their own; otherwise on that of the held request
+	ownConns  bool // on connections of their own; otherwise on that of the held request
 }
 
 // message returns a request with a timeout.
@@ -41,23 +41,23 @@
 func TestTimeCountsFromReceipt(t *testing.T) {
 	t.Parallel()
 	for name, unread := range map[string]unreadRequest{
-		"in the accept queue":                  {conns: 1, bodies: 1 << 20, queue: true},
-		"with a body in the accept queue":      {conns: 1, bodies: 1 << 20, queue: true, body: 2000},
-		"while there is no memory for a body":  {conns: 64, bodies: 10 << 10, queue: true, body: 8 << 10},
+		"in the accept queue":                  {conns: 1, bodies: 1 << 20, ownConns: true},
+		"with a body in the accept queue":      {conns: 1, bodies: 1 << 20, ownConns: true, body: 2000},
+		"while there is no memory for a body":  {conns: 64, bodies: 10 << 10, ownConns: true, body: 8 << 10},
 		"behind another request":               {conns: 64, bodies: 1 << 20},
-		"behind another request, under TLS":    {conns: 64, bodies: 1 << 20, secure: true},
+		"behind another request, under TLS":    {conns: 64, bodies: 1 << 20, useTLS: true},
 		"with a body, behind another request":  {conns: 64, bodies: 1 << 20, body: 2000},
 		"with a large body behind another one": {conns: 64, bodies: 1 << 20, body: 20 << 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			unread.play(t)
+			unread.run(t)
 		})
 	}
 }
 
-// play has one request held at its endpoint, and others unread behind it: two with ample time, and one whose time is over when it is read.
-func (u *unreadRequest) play(t *testing.T) {
+// run has one request held at its endpoint, and others unread behind it: two with ample time, and one whose time is over when it is read.
+func (u *unreadRequest) run(t *testing.T) {
 	t.Helper()
 	type arrival struct {
 		id      string
@@ -66,7 +66,7 @@
 	}
 	arrivals := make(chan arrival, 16)
 	held := make(chan *lbtest.Arrival, 1)
-	d := open(t, u.conns, u.bodies, u.secure, func(a *lbtest.Arrival) {
+	d := startTestServer(t, u.conns, u.bodies, u.useTLS, func(a *lbtest.Arrival) {
 		at := time.Now()
 		id := a.Request.Header.Get("X-Request-ID")
 		if id == "held" {
@@ -90,7 +90,7 @@
 	order := []string{"ample", "short", "ample too"}
 	for _, id := range order {
 		clients[id] = first
-		if u.queue {
+		if u.ownConns {
 			clients[id] = lbtest.Dial(t, d.addr)
 		}
 	}
@@ -103,7 +103,7 @@
 	if status, _ := first.Response(); status != 200 {
 		t.Fatalf("held: %d", status)
 	}
-	if u.queue {
+	if u.ownConns {
 		first.Close()
 	}
 	for _, id := range order {
@@ -115,7 +115,7 @@
 		if status, _ := c.Response(); status != want {
 			t.Errorf("%s: %d, not %d", id, status, want)
 		}
-		if u.queue {
+		if u.ownConns {
 			c.Close()
 		}
 	}
@@ -130,8 +130,8 @@
 func (u *unreadRequest) dial(t *testing.T, d *testServer) *lbtest.Client {
 	t.Helper()
 	c := lbtest.Dial(t, d.addr)
-	if u.secure {
-		return lbtest.NewClient(t, tls.Client(c.Conn, d.secure))
+	if u.useTLS {
+		return lbtest.NewClient(t, tls.Client(c.Conn, d.clientTLS))
 	}
 	return c
 }
--- a/internal/edge/frontend/request.go
+++ b/internal/edge/frontend/request.go
@@ -66,7 +66,7 @@
 	}
 	x, reply := s.router.Route(r)
 	if reply != nil {
-		c.skipBody()
+		c.discardBody()
 		if reply.Close {
 			c.abandonInput()
 		}
@@ -93,7 +93,7 @@
 		c.abandonInput()
 		c.respond(x, engine.Result{Rejected: true, RetryAfter: memoryRetryAfter})
 	case err != nil:
-		c.reject(statusOf(err))
+		c.reject(bodyErrorStatus(err))
 	case b.stream != nil:
 		c.serveStream(streaming, b)
 	case c.hasInvalidInput(): // there is more than the length says
@@ -103,8 +103,8 @@
 	}
 }
 
-// statusOf returns the response status for a body that cannot be read.
-func statusOf(err error) int {
+// bodyErrorStatus returns the response status for a body that cannot be read.
+func bodyErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, errTooLarge):
 		return http.StatusRequestEntityTooLarge
@@ -138,7 +138,7 @@
 	}
 	if err := b.stream.clientError(); err != nil && a.Response == nil {
 		x.Reply(engine.Result{}) // records a failure, whatever the policy made of it
-		c.reject(statusOf(err))
+		c.reject(bodyErrorStatus(err))
 		return
 	}
 	if !b.stream.IsComplete() || c.hasInvalidInput() {
--- a/internal/edge/frontend/server_test.go
+++ b/internal/edge/frontend/server_test.go
@@ -22,8 +22,8 @@
 	"silvertrail/lbpolicy"
 )
 
-// serve runs a sidecar without discovery in front of endpoints, one blank between them, and returns its address.
-func serve(t *testing.T, endpoint string, maxConns int) (*frontend.Server, string) {
+// startServer runs a sidecar without discovery in front of endpoints, one blank between them, and returns its address.
+func startServer(t *testing.T, endpoint string, maxConns int) (*frontend.Server, string) {
 	t.Helper()
 	l := lbtest.Listen(t)
 	c, err := config.Load(lbtest.WriteConfig(t, "", l.Addr().String(), "127.0.0.1:1"))
@@ -86,7 +86,7 @@
 		"no key":               lbtest.Head("POST", "write", "b", "Content-Length: 0"),
 	}
 	e := lbtest.NewEndpoint(t, nil)
-	s, addr := serve(t, e.Addr, 64)
+	s, addr := startServer(t, e.Addr, 64)
 	t.Run("all", func(t *testing.T) {
 		for name, text := range bad {
 			t.Run(name, func(t *testing.T) {
@@ -125,7 +125,7 @@
 		}
 		a.Write([]byte(lbtest.OK(a.Request.Method + a.Request.RequestURI + a.Request.Header.Get("Idempotency-Key") + a.Body)))
 	})
-	_, addr := serve(t, e.Addr, 8)
+	_, addr := startServer(t, e.Addr, 8)
 	c := lbtest.Dial(t, addr)
 	for i, want := range []string{"GET/read", large, "GET/read?a=%20b", "POST/writek-3two",
 		"POST/writekchunks"} {
@@ -142,7 +142,7 @@
 // An id that is in use, or was lately, is another's: it is neither passed on nor refused.
 func TestIDInUse(t *testing.T) {
 	e := lbtest.NewEndpoint(t, nil)
-	_, addr := serve(t, e.Addr, 8)
+	_, addr := startServer(t, e.Addr, 8)
 	owner := lbtest.Dial(t, addr)
 	owner.Send(lbtest.Get("one"))
 	a := <-e.Arrivals
@@ -168,7 +168,7 @@
 // Connections that say nothing never keep a client out, however many.
 func TestSilentCrowd(t *testing.T) {
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	_, addr := serve(t, e.Addr, 4)
+	_, addr := startServer(t, e.Addr, 4)
 	for range 48 { // a head's time for each four of them would be too long
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -186,7 +186,7 @@
 // A process that is asked to end serves clients on, on kept connections and new ones, until it is time to close them.
 func TestEnd(t *testing.T) {
 	e := lbtest.NewEndpoint(t, nil)
-	s, addr := serve(t, e.Addr, 8)
+	s, addr := startServer(t, e.Addr, 8)
 	kept := lbtest.Dial(t, addr)
 	ask := func(c *lbtest.Client, id string) {
 		t.Helper()
@@ -234,7 +234,7 @@
 func TestEndQueued(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, nil)
-	s, addr := serve(t, e.Addr, 1)
+	s, addr := startServer(t, e.Addr, 1)
 	first := lbtest.Dial(t, addr)
 	first.Send(lbtest.Get("first"))
 	held := <-e.Arrivals
--- a/internal/edge/frontend/shutdown_test.go
+++ b/internal/edge/frontend/shutdown_test.go
@@ -8,10 +8,10 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// readAll waits until the sidecar has read all that a client has written.
-func (c *testClient) readAll(t *testing.T, size int64) {
+// awaitRead waits until the sidecar has read all that a client has written.
+func (c *testClient) awaitRead(t *testing.T, size int64) {
 	t.Helper()
-	lbtest.Until(t, "it is read", func() bool { return c.here.read.Load() >= size })
+	lbtest.Until(t, "it is read", func() bool { return c.serverConn.read.Load() >= size })
 }
 
 // A request of which a part had come when connections were closed is served once the rest has: on a new connection and on a
@@ -21,9 +21,9 @@
 	for name, kept := range map[string]bool{"new": false, "kept": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, 8, 1<<20, false, nil)
+			d := startTestServer(t, 8, 1<<20, false, nil)
 			text := lbtest.Get("slow")
-			c, before := d.call(t, ""), ""
+			c, before := d.connectAndSend(t, ""), ""
 			if kept {
 				before = lbtest.Get("before")
 				c.Send(before)
@@ -34,16 +34,16 @@
 			from := 0
 			for _, n := range []int{20, 30} { // as the second piece is read the first one has been taken note of
 				c.Send(text[from:n])
-				c.readAll(t, int64(len(before)+n))
+				c.awaitRead(t, int64(len(before)+n))
 				from = n
 			}
-			idle := d.call(t, "")
+			idle := d.connectAndSend(t, "")
 			idle.Send(lbtest.Get("idle"))
 			if status, _ := idle.Response(); status != 200 {
 				t.Fatal(status)
 			}
 			by := time.Now().Add(lbtest.Wait)
-			d.host.ShutDownBy(by)
+			d.engine.ShutDownBy(by)
 			ended := make(chan struct{})
 			go func() { d.Shutdown(time.Now(), by); close(ended) }()
 			if rest := idle.AwaitClose(); rest != "" { // what stands idle has been closed
@@ -63,10 +63,10 @@
 func TestEndHangs(t *testing.T) {
 	t.Parallel()
 	arrived := make(chan *lbtest.Arrival, 8)
-	d := open(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
-	c := d.call(t, lbtest.Get("held"))
+	d := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
+	c := d.connectAndSend(t, lbtest.Get("held"))
 	<-arrived
-	d.host.ShutDownBy(time.Now())
+	d.engine.ShutDownBy(time.Now())
 	if status, _ := c.Response(); status < 500 {
 		t.Errorf("held: %d", status)
 	}
@@ -76,7 +76,7 @@
 			t.Errorf("one that came after the end: %d, want a refusal, as nothing of it went out", status)
 		}
 	}
-	if got := strings.Join(d.got(), " "); got != "held" {
+	if got := strings.Join(d.requestIDs(), " "); got != "held" {
 		t.Errorf("endpoints got %q", got)
 	}
 }
--- a/internal/edge/frontend/stream_test.go
+++ b/internal/edge/frontend/stream_test.go
@@ -18,17 +18,17 @@
 )
 
 // pattern gives bytes that differ with their place, so that none is lost, doubled or moved unseen.
-type pattern struct{ at, size int }
+type pattern struct{ offset, size int }
 
 func (p *pattern) Read(b []byte) (int, error) {
-	if p.at == p.size {
+	if p.offset == p.size {
 		return 0, io.EOF
 	}
-	n := min(len(b), p.size-p.at)
+	n := min(len(b), p.size-p.offset)
 	for i := range n {
-		b[i] = byte((p.at + i) * 2654435761 >> 13)
+		b[i] = byte((p.offset + i) * 2654435761 >> 13)
 	}
-	p.at += n
+	p.offset += n
 	return n, nil
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// startLargeEndpoint is an endpoint that checks bodies and answers with as many bytes as X-Want says, in chunks where X-Chunks does.
-func startLargeEndpoint(t *testing.T, arrived *atomic.Int64) string {
+// startPatternEndpoint is an endpoint that checks bodies and answers with as many bytes as X-Want says, in chunks where X-Chunks does.
+func startPatternEndpoint(t *testing.T, arrived *atomic.Int64) string {
 	t.Helper()
 	l := lbtest.Listen(t)
 	s := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -77,8 +77,8 @@
 	return l.Addr().String()
 }
 
-// post sends a keyed request with a body of a size, in chunks where the length is not to be told.
-func post(c net.Conn, id string, size int, chunks bool, lines ...string) {
+// sendPattern sends a keyed request with a body of a size, in chunks where the length is not to be told.
+func sendPattern(c net.Conn, id string, size int, chunks bool, lines ...string) {
 	lines = append(lines, "Idempotency-Key: k-"+id, fmt.Sprint("X-Size: ", size))
 	if !chunks {
 		io.WriteString(c, lbtest.Head("POST", "write", id, append(lines, fmt.Sprint("Content-Length: ", size))...))
@@ -102,7 +102,7 @@
 // stands behind them on the connection is served too.
 func TestLargeBothWays(t *testing.T) {
 	var arrived atomic.Int64
-	_, addr := serve(t, startLargeEndpoint(t, &arrived), 64)
+	_, addr := startServer(t, startPatternEndpoint(t, &arrived), 64)
 	var all sync.WaitGroup
 	sizes := []int{64<<10 - 1, 64 << 10, 64<<10 + 1, 100_000, 1 << 20, 5 << 20, 32 << 20}
 	asked := int64(0)
@@ -123,7 +123,7 @@
 				}
 				br := bufio.NewReader(c)
 				for n := range 2 { // on the same connection
-					go post(c, fmt.Sprintf("%d-%t-%d", size, chunks, n), size, chunks, lines...)
+					go sendPattern(c, fmt.Sprintf("%d-%t-%d", size, chunks, n), size, chunks, lines...)
 					r, err := http.ReadResponse(br, nil)
 					if err != nil || r.StatusCode != http.StatusOK || r.Close {
 						t.Errorf("%d bytes, chunks %t: %v %v", size, chunks, r, err)
@@ -201,7 +201,7 @@
 				}
 				conn.Close()
 			})
-			_, addr := serve(t, e, 8)
+			_, addr := startServer(t, e, 8)
 			conn := lbtest.Dial(t, addr)
 			conn.Send(strings.Replace(lbtest.Get("one"), "HTTP/1.1", c.proto, 1))
 			r, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -222,7 +222,7 @@
 // An endpoint that answers before the body is over is heard, while the client still sends.
 func TestAnsweredEarly(t *testing.T) {
 	e := startRawEndpoint(t, func(c net.Conn, r *http.Request) { io.WriteString(c, lbtest.OK("early")) })
-	_, addr := serve(t, e, 8)
+	_, addr := startServer(t, e, 8)
 	c := lbtest.Dial(t, addr)
 	c.Send(lbtest.Head("POST", "write", "a", "Idempotency-Key: k", "Content-Length: 1000000") + strings.Repeat("x", 200<<10))
 	if status, body := c.Response(); status != 200 || body != "early" {
@@ -234,9 +234,9 @@
 // at most; one of which nothing is gone yet goes to the next.
 func TestBodiesAndAttempts(t *testing.T) {
 	var arrived atomic.Int64
-	good := startLargeEndpoint(t, &arrived)
+	good := startPatternEndpoint(t, &arrived)
 	t.Run("broken by its caller", func(t *testing.T) {
-		_, addr := serve(t, good, 8)
+		_, addr := startServer(t, good, 8)
 		for _, framing := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 			c := lbtest.Dial(t, addr)
 			c.Send(lbtest.Head("POST", "write", "b"+framing[:1], "Idempotency-Key: k", "X-Breaks: 1", "X-Size: 1000000", framing))
@@ -257,10 +257,10 @@
 		l := lbtest.Listen(t)
 		gone := l.Addr().String()
 		l.Close()
-		_, addr := serve(t, gone+" "+good, 8)
+		_, addr := startServer(t, gone+" "+good, 8)
 		for i := range 4 {
 			c := lbtest.Dial(t, addr)
-			go post(c, fmt.Sprint("retried-", i), 300_000, false, "X-Want: 2")
+			go sendPattern(c, fmt.Sprint("retried-", i), 300_000, false, "X-Want: 2")
 			if status, _ := c.Response(); status != 200 {
 				t.Errorf("status %d", status)
 			}
@@ -275,9 +275,9 @@
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
-		_, addr := serve(t, dies+" "+dies, 8)
+		_, addr := startServer(t, dies+" "+dies, 8)
 		c := lbtest.Dial(t, addr)
-		go post(c, "once", 30<<20, false, "X-Want: 2")
+		go sendPattern(c, "once", 30<<20, false, "X-Want: 2")
 		// What has not come whole has not run: its client may try again.
 		if status, _ := c.Response(); status != 503 && status != 0 {
 			t.Errorf("status %d", status)
@@ -298,7 +298,7 @@
 			time.Sleep(90 * time.Millisecond)
 		}
 	})
-	_, addr := serve(t, e, 8)
+	_, addr := startServer(t, e, 8)
 	c := lbtest.Dial(t, addr)
 	c.Send(lbtest.Get("one"))
 	if status, body := c.Response(); status != 200 || body != strings.Repeat("y", pieces*4) {
@@ -315,9 +315,9 @@
 		io.Copy(io.Discard, c) // until the sidecar ends it
 		close(ended)
 	})
-	_, addr := serve(t, e, 8)
+	_, addr := startServer(t, e, 8)
 	c := lbtest.Dial(t, addr)
-	post(c, "left", 200_000, false)
+	sendPattern(c, "left", 200_000, false)
 	<-got
 	c.Close()
 	select {
