--- a/internal/edge/frontend/acceptor.go
+++ b/internal/edge/frontend/acceptor.go
@@ -18,31 +18,31 @@
 // acceptor accepts a listener's connections and runs the admission controller on them.
 type acceptor struct {
 	listener    net.Listener
-	tlsConfig   atomic.Pointer[TLSConfig] // nil: no TLS
+	tlsConfig   atomic.Pointer[TLSConfig] // nil without TLS
 	onExhausted atomic.Pointer[func()]
-	serve       func(*clientConn) // for connections that are admitted after a wait
+	serve       func(*clientConn) // serves connections that are admitted after a wait
 
-	mu         sync.Mutex
-	controller *admission.Controller
-	undecided  int  // connections that were accepted and wait in admit
-	tickScheduled    bool // tick is scheduled
+	mu            sync.Mutex
+	controller    *admission.Controller
+	undecided     int  // accepted connections that wait for a decision in admit
+	tickScheduled bool // tick is scheduled
 
-	// spareDescriptor is given up so that a connection can be accepted, if only to be rejected, while there is no other descriptor. It
-	// belongs to the accepting goroutine.
+	// spareDescriptor is closed when no other descriptor is free, so that a connection can be accepted, if only to be rejected. It is
+	// used by the accepting goroutine alone.
 	spareDescriptor *os.File
 	spareUsed       atomic.Bool
 
 	lingering lingeringConns
 }
 
-// admitInterval is how often connections that wait for a slot are considered: slots become free by time, too.
+// admitInterval is the interval at which waiting connections are considered for a slot. Slots also become free as time passes.
 const admitInterval = 5 * time.Millisecond
 
 func newAcceptor(l net.Listener, p admission.Policy, serve func(*clientConn)) *acceptor {
 	return &acceptor{listener: l, controller: admission.New(p, time.Now()), serve: serve}
 }
 
-// setPolicy puts another admission policy in force.
+// setPolicy replaces the admission policy and closes the connections that the new policy evicts.
 func (a *acceptor) setPolicy(p admission.Policy) {
 	a.mu.Lock()
 	evicted := a.controller.Update(time.Now(), p)
@@ -52,7 +52,7 @@
 	admitWaiting()
 }
 
-// freeDescriptors closes idle connections after descriptors were exhausted, and returns how many.
+// freeDescriptors closes idle connections after file descriptors were exhausted, and returns the number of closed connections.
 func (a *acceptor) freeDescriptors() int {
 	a.mu.Lock()
 	evicted := a.controller.ReduceCapacity(time.Now())
@@ -61,14 +61,15 @@
 	return len(evicted)
 }
 
-// closeEvicted closes connections that the controller has evicted. The lock must not be held.
+// closeEvicted closes connections that the controller has evicted. The caller must not hold a.mu.
 func closeEvicted(evicted []*admission.Conn) {
 	for _, c := range evicted {
 		c.Owner.(*clientConn).Close()
 	}
 }
 
-// admitWaiting gives free slots to waiting connections. The caller holds the lock, and calls the result without it.
+// admitWaiting assigns free slots to waiting connections. The caller holds a.mu, and calls the returned function after releasing it. That
+// function closes evicted connections and starts serving admitted ones.
 func (a *acceptor) admitWaiting() func() {
 	admitted, evicted := a.controller.AdmitWaiting(time.Now())
 	if len(admitted)+len(evicted) == 0 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// tick gives slots that became free by time alone to waiting connections, as long as there are any.
+// tick assigns slots that became free as time passed. It schedules itself again while connections wait.
 func (a *acceptor) tick() {
 	a.mu.Lock()
 	admitWaiting := a.admitWaiting()
@@ -94,7 +95,7 @@
 	admitWaiting()
 }
 
-// expireWait rejects a connection that has waited for too long.
+// expireWait rejects a connection that has waited too long for a slot.
 func (a *acceptor) expireWait(c *clientConn) {
 	a.mu.Lock()
 	v := a.controller.ExpireWait(time.Now(), c.slot)
@@ -104,7 +105,7 @@
 	}
 }
 
-// accept returns the next connection that is admitted. Those that are rejected are answered and closed.
+// accept returns the next connection that is admitted at once. It responds to rejected connections and closes them.
 func (a *acceptor) accept() (*clientConn, error) {
 	for {
 		nc, err := a.acceptOne()
@@ -121,10 +122,10 @@
 	}
 }
 
-// acceptOne accepts a connection. Without a descriptor for it, idle connections are closed, then the spare descriptor is given up.
+// acceptOne accepts a connection. If no descriptor is free, it first closes idle connections, then the spare descriptor.
 func (a *acceptor) acceptOne() (net.Conn, error) {
 	if a.spareDescriptor == nil {
-		a.spareDescriptor, _ = os.Open(os.DevNull) // where it fails the next call tries again
+		a.spareDescriptor, _ = os.Open(os.DevNull) // if it fails, the next call tries again
 		a.spareUsed.Store(a.spareDescriptor == nil)
 	}
 	nc, err := a.listener.Accept()
@@ -144,7 +145,7 @@
 	return a.listener.Accept()
 }
 
-// admit passes a connection to the controller. It returns false where the connection was rejected, or waits for a slot.
+// admit asks the controller to admit a connection. It returns false if the connection was rejected or waits for a slot.
 func (a *acceptor) admit(c *clientConn) bool {
 	isUndecided := false
 	for {
@@ -173,7 +174,7 @@
 	}
 }
 
-// decide asks the controller for a decision, and counts the connections that have none yet.
+// decide asks the controller for a verdict on a connection, and keeps the count of undecided connections.
 func (a *acceptor) decide(c *clientConn, isUndecided *bool) admission.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -203,8 +204,8 @@
 	a.lingering.close()
 }
 
-// closeIdle closes up to limit connections that carry no request, except new ones before their first request, and those with input, which
-// may be a part of a request.
+// closeIdle closes at most limit idle connections. It skips new connections that have not sent a request yet, and connections with unread
+// input, which may be part of a request.
 func (a *acceptor) closeIdle(limit int) {
 	a.mu.Lock()
 	now := time.Now()
@@ -230,7 +231,7 @@
 		return false
 	}
 	pending := false
-	// Control fails on a closed listener alone, which has none.
+	// Control fails only on a closed listener, which has no accept queue.
 	_ = raw.Control(func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(p, 0)
@@ -239,7 +240,7 @@
 	return pending
 }
 
-// count returns the number of connections that are open or wait for a slot.
+// count returns the number of connections that are open, wait for a slot or are undecided.
 func (a *acceptor) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/edge/frontend/body.go
+++ b/internal/edge/frontend/body.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	maxBufferedBody   = 64 << 10 // bodies up to this size are buffered whole, and can be sent again
-	maxUnreservedBody = 4 << 10  // covered by the memory of each connection
-	firstBodyBuffer   = 2 << 10  // of a body whose length is not known
-	// messageTimeout is how long a head may take from the start of its connection, and a buffered body from the end of its head. Bad
-	// clients send at full speed and must have a response or a close 3 s after connecting; slow good ones get both times.
+	maxBufferedBody   = 64 << 10 // bodies up to this size are buffered completely, so that they can be sent again
+	maxUnreservedBody = 4 << 10  // accounted for in the memory of each connection
+	firstBodyBuffer   = 2 << 10  // initial buffer size for a body of unknown length
+	// messageTimeout is the maximum time for a head, counted from the start of the connection, and for a buffered body, counted from the
+	// end of its head. Faulty clients send at full speed, and must get a response or a close within 3 s of connecting. Slow valid clients
+	// may use both periods.
 	messageTimeout = 2600 * time.Millisecond
-	// minBodyBytesPerSecond is the average rate that a larger body must reach beyond messageTimeout: half of that of the slowest clients
-	// on the platform's page. Only time in which the server waited for the client counts.
+	// minBodyBytesPerSecond is the average rate that a larger body must reach beyond messageTimeout. It is half the rate of the slowest
+	// clients on the platform's page. Only the time that the server spends waiting for the client counts.
 	minBodyBytesPerSecond = 32 << 10
 )
 
 var (
-	errTooLarge     = errors.New("body too large")
-	errNoBodyMemory = errors.New("no memory for the body")
-	errBadBody      = errors.New("the client's body cannot be read")
-	errBodyStopped  = errors.New("the body is not read any more")
+	errTooLarge     = errors.New("request body exceeds the size limit")
+	errNoBodyMemory = errors.New("no memory available for the request body")
+	errBadBody      = errors.New("request body is malformed or truncated")
+	errBodyStopped  = errors.New("reading of the request body was stopped")
 )
 
-// StreamingExchange is an exchange that takes bodies larger than the buffer while they are received.
+// StreamingExchange is an exchange that can process bodies larger than maxBufferedBody while they are being received.
 type StreamingExchange interface {
 	Exchange
-	// MaxBodyBytes returns the largest size of a body.
+	// MaxBodyBytes returns the maximum size of a body.
 	MaxBodyBytes() int64
-	// Stream is Do for a request of whose body the first bytes are buffered, and the rest is read from a stream. Its time counts from
-	// rest.ReceivedAt once the body is complete.
+	// Stream serves a request like Do, but only the first bytes of the body are buffered, and the rest is read from a stream. Once the
+	// body is complete, the request's deadline counts from rest.ReceivedAt.
 	Stream(ctx context.Context, buffered []byte, rest *BodyStream) engine.Result
 }
 
-// body is a request's body, with its part of the memory that all bodies share.
+// body is a request's body and the memory reserved for it from the shared budget.
 type body struct {
 	bytes    []byte
-	stream   *BodyStream // what follows the buffered bytes; nil: nothing does
+	stream   *BodyStream // the rest of the body after the buffered bytes; nil if all of it is buffered
 	budget   Budget
 	reserved int64
 }
@@ -52,8 +53,8 @@
 	b.reserved = 0
 }
 
-// reserve takes memory before it is filled, and waits for it. Waiting costs the client nothing: its deadline begins with its last
-// byte.
+// reserve acquires n bytes from the budget before they are filled, and waits for them until the deadline. The wait does not shorten the
+// request's own deadline, which counts from the last byte of the request.
 func (b *body) reserve(ctx context.Context, n int64, deadline time.Time) error {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// read reads the body whole, or its first bytes where it is larger than the buffer and may be streamed. Large bodies wait for each
-// other's memory, as far as the budget lets them.
+// read reads the whole body, or only its first bytes if it exceeds maxBufferedBody and may be streamed. A body larger than
+// maxUnreservedBody waits until the shared budget has memory for it.
 func (b *body) read(c *clientConn, maxBytes int64) error {
 	size := c.request.ContentLength
 	switch {
@@ -93,7 +94,7 @@
 	if stream.isFullyReceived() && len(b.bytes) <= maxBufferedBody {
 		return nil
 	}
-	if maxBytes <= maxBufferedBody { // there is more than is allowed
+	if maxBytes <= maxBufferedBody { // the body exceeds maxBytes
 		return errTooLarge
 	}
 	stream.timeLeft += time.Duration(len(b.bytes)) * time.Second / minBodyBytesPerSecond
@@ -101,19 +102,19 @@
 	return nil
 }
 
-// sendContinueIfExpected asks for the body of a client that waits for it (Expect: 100-continue, RFC 9110, 10.1.1).
+// sendContinueIfExpected writes 100 Continue if the client waits for it before it sends the body (RFC 9110, 10.1.1).
 func (c *clientConn) sendContinueIfExpected() error {
 	if !c.expectsContinue {
 		return nil
 	}
 	c.expectsContinue = false
-	if len(c.input) > 0 { // the body is on its way already
+	if len(c.input) > 0 { // the client has started to send the body
 		return nil
 	}
 	return c.writeContinue()
 }
 
-// fill reads the body into the buffer, up to its capacity.
+// fill reads the body into b.bytes, up to capacity bytes. For a body of unknown length it reads one byte more, to detect the end.
 func (b *body) fill(stream *BodyStream, capacity int64) error {
 	if stream.length > 0 {
 		b.bytes = make([]byte, 0, capacity)
@@ -135,7 +136,7 @@
 	if stream.isFullyReceived() || stream.length >= 0 {
 		return nil
 	}
-	var next [1]byte // of a body whose length is not known: another byte, or its end
+	var next [1]byte // the next byte of a body of unknown length, if there is one
 	n, err := stream.Read(next[:])
 	b.bytes = append(b.bytes, next[:n]...)
 	return err
--- a/internal/edge/frontend/bodystream.go
+++ b/internal/edge/frontend/bodystream.go
@@ -9,32 +9,32 @@
 	"silvertrail/internal/base/chunked"
 )
 
-// bodyBufferBytes is the size of the reads of a large body.
+// bodyBufferBytes is the minimum size of the read buffer for a streamed body.
 const bodyBufferBytes = 16 << 10
 
-// BodyStream is the part of a body that is not buffered. It is read once, by whoever acquires it first.
+// BodyStream is the part of a request body that is not buffered. It can be read only once, by the first caller of Acquire.
 type BodyStream struct {
 	conn     *clientConn
-	length   int64 // of the whole body; -1: not known
+	length   int64 // of the whole body in bytes; -1 if unknown
 	maxBytes int64
 
-	mu           sync.Mutex // held while it is read; of what follows
-	remaining    int64      // of a known length
+	mu           sync.Mutex // held during a read; guards the fields down to err
+	remaining    int64      // bytes not read yet, if the length is known
 	chunkDecoder *chunked.Decoder
 	received     int64
-	timeLeft     time.Duration // for which the server may still wait for the client
+	timeLeft     time.Duration // how long the server may still wait for the client
 	err          error
 
-	stateMu  sync.Mutex // of what follows
+	stateMu  sync.Mutex // guards the fields below
 	acquired bool
 	stopped  bool
-	watched  bool // the client is watched for its disconnect: nothing is read any more
+	watched  bool // the watch for a disconnect has started, and the body is not read any more
 }
 
-// Length returns the length of the whole body, -1 where it is not known.
+// Length returns the length of the whole body in bytes, or -1 if it is unknown.
 func (s *BodyStream) Length() int64 { return s.length }
 
-// Acquire returns whether the caller is the first, and may read.
+// Acquire reports whether the caller is the first one and may read the stream. It returns false after Stop.
 func (s *BodyStream) Acquire() bool {
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// isFullyReceived reports whether the body was received completely.
+// isFullyReceived reports whether the body was received completely. The caller holds s.mu.
 func (s *BodyStream) isFullyReceived() bool {
 	if s.chunkDecoder != nil {
 		return s.chunkDecoder.IsComplete()
@@ -53,8 +53,8 @@
 	return s.remaining == 0
 }
 
-// Read reads what comes next. At the end of the body n may be positive, and IsComplete is true; an error is the client's, or that of a
-// stream that was stopped.
+// Read reads the next bytes of the body. At the end of the body it returns no error, n may be positive, and IsComplete returns true. An
+// error means that the client failed to send the body, or that the stream was stopped.
 func (s *BodyStream) Read(p []byte) (n int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// IsComplete reports whether the body was received completely.
+// IsComplete reports whether the body was received completely and without an error.
 func (s *BodyStream) IsComplete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	return n, nil
 }
 
-// fill waits for the client, and reads into the connection's own buffer.
+// fill waits for bytes from the client, and reads them into the connection's buffer.
 func (s *BodyStream) fill() error {
 	c := s.conn
 	if cap(c.buffer) < bodyBufferBytes {
@@ -114,7 +114,7 @@
 	n, err := c.reader.Read(c.buffer[:cap(c.buffer)])
 	if n == 0 && s.renewDeadline(err) {
 		n, err = c.reader.Read(c.buffer[:cap(c.buffer)])
-		start = time.Now() // the process stood still, and did not wait for the client
+		start = time.Now() // the process was paused and did not wait for the client
 	}
 	c.input = c.buffer[:n]
 	s.timeLeft += time.Duration(n)*time.Second/minBodyBytesPerSecond - time.Since(start)
@@ -132,21 +132,23 @@
 	return errBadBody
 }
 
-// renewDeadline has one more read bring what has arrived while this process stood still, and reports whether it did.
+// renewDeadline extends the read deadline if it passed while this process was paused, so that another read gets the bytes that arrived
+// during the pause. It reports whether it did.
 func (s *BodyStream) renewDeadline(err error) bool {
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
 	return !s.stopped && s.conn.renewDeadline(err, false)
 }
 
-// prepareRead sets the deadline of a read, unless the stream was stopped, or the client of a stream that is being forwarded has left.
+// prepareRead sets the deadline of the next read. It returns an error if the stream was stopped, or if the client disconnected while the
+// stream was being forwarded.
 func (s *BodyStream) prepareRead(now time.Time) error {
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
 	if s.stopped {
 		return errBodyStopped
 	}
-	if s.acquired && s.conn.isDisconnected() { // unread input would be forwarded for nobody
+	if s.acquired && s.conn.isDisconnected() { // do not forward unread input of a disconnected client
 		return errBadBody
 	}
 	s.conn.setReadDeadline(now.Add(min(s.timeLeft, messageTimeout)))
@@ -160,10 +162,10 @@
 	return s.conn.received.receivedAt
 }
 
-// MarkForwarded records that the body was forwarded completely: from now on the client is watched for its disconnect, as that of any
+// MarkForwarded records that the body was forwarded completely, and starts the watch for a disconnect of the client, as for any other
 // request in flight.
 func (s *BodyStream) MarkForwarded() {
-	s.mu.Lock() // nothing is being read
+	s.mu.Lock() // waits for a read in progress
 	defer s.mu.Unlock()
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
@@ -173,7 +175,7 @@
 	}
 }
 
-// Stop ends the reading; a read in progress fails. When it returns nothing else reads from the connection.
+// Stop ends the reading of the stream. A read in progress fails. After Stop has returned, nothing else reads from the connection.
 func (s *BodyStream) Stop() {
 	s.stateMu.Lock()
 	stopWatch := s.watched && !s.stopped
@@ -188,7 +190,7 @@
 	s.conn.clearReadDeadline()
 }
 
-// clientError returns what is wrong on the client's side, or nil.
+// clientError returns the error that ended the stream if the client caused it, or nil.
 func (s *BodyStream) clientError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/frontend/clientconn.go
+++ b/internal/edge/frontend/clientconn.go
@@ -16,62 +16,62 @@
 	"silvertrail/internal/edge/admission"
 )
 
-// clientConn is a client's connection. One goroutine serves it; Close may be called from any.
+// clientConn is a client's connection. One goroutine serves it. Close may be called from any goroutine.
 //
-// Heads are read strictly, against request smuggling: a head that can be read in two ways, and bytes behind a body that begin no request
-// (so that the length of the body was wrong), have the request rejected and the connection closed, with nothing behind it read. A client
-// that sends stray line ends between requests is rejected, too.
+// Heads are parsed strictly to prevent request smuggling. A request is rejected if its head is ambiguous, or if the bytes after its body
+// cannot start another request, because then the length of the body was wrong. The connection is closed and no further input is parsed.
+// Empty lines between requests are rejected, too.
 type clientConn struct {
-	net.Conn   // what is written: the socket, or TLS over it
+	net.Conn   // for writing: the socket, or TLS over it
 	socket     net.Conn
-	received   *receivingSocket // over socket
-	reader     io.Reader        // received, or TLS over it
+	received   *receivingSocket // wraps socket
+	reader     io.Reader        // for reading: received, or TLS over it
 	rawConn    syscall.RawConn
 	acceptor   *acceptor
-	tlsConfig  *TLSConfig // nil: no TLS
+	tlsConfig  *TLSConfig // nil without TLS
 	remoteIP   netip.Addr
 	remoteAddr string
-	ctx        context.Context // ends with the connection, or with the client's disconnect
+	ctx        context.Context // cancelled when the connection is closed or the client disconnects
 	cancel     context.CancelFunc
 
-	buffer          []byte // the memory of input
-	input           []byte // read and not used yet
+	buffer          []byte // backing memory of input
+	input           []byte // bytes read but not consumed yet
 	request         http.Request
-	expectsContinue bool        // Expect: 100-continue
-	headStarted     atomic.Bool // a part of a head was read
+	expectsContinue bool        // the client waits for 100 Continue before it sends the body
+	headStarted     atomic.Bool // a part of the next head was read
 	closeAfter      bool        // the connection is closed after the current response
 	writeFailed     bool
-	lingers         bool // input that is still on its way is discarded before the close
+	lingers         bool // input still in transit is discarded before the close
 	requestCount    int
-	readDeadline    time.Time // as set last
-	writeDeadline   time.Time // as set last
+	readDeadline    time.Time // last value set
+	writeDeadline   time.Time // last value set
 
-	// The watch for a disconnect while a request is in flight.
+	// State of the watch for a disconnect while a request is in flight.
 
 	watchTimer *time.Timer
 	mu         sync.Mutex
 	inFlight   bool
-	watchDone  chan struct{} // closed when the watch has ended; nil: there is none
+	watchDone  chan struct{} // closed when the watch has ended; nil if none was started
 
-	pipelined []byte // input that the watch has read under TLS
+	pipelined []byte // input that was read under TLS while detecting a disconnect
 
-	slot         *admission.Conn // under acceptor.mu until the connection is admitted; nil: it was rejected, or is undecided
-	mustIdentify bool            // it was admitted to present a certificate
+	slot         *admission.Conn // guarded by acceptor.mu until admission; nil if rejected or not decided yet
+	mustIdentify bool            // admitted only to present a client certificate
 }
 
 const (
 	readBufferBytes   = 1 << 10
-	maxKeptReadBuffer = 4 << 10 // a larger buffer is freed after its request
+	maxKeptReadBuffer = 4 << 10 // larger buffers are freed after the request
 )
 
-// pastDeadline makes a read return at once, also one in progress.
+// pastDeadline makes reads return at once, including a read in progress.
 var pastDeadline = time.Unix(1, 0)
 
 func newClientConn(nc net.Conn, a *acceptor) (*clientConn, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		nc.Close()
-		return nil, errors.New("frontend: a connection that is no socket")
+		return nil, errors.New("frontend: accepted connection is not a socket")
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return c, nil
 }
 
-// Close closes the connection and frees its slot.
+// Close closes the connection and releases its admission slot.
 func (c *clientConn) Close() error {
 	admitWaiting := func() {}
 	c.acceptor.mu.Lock()
@@ -104,15 +104,15 @@
 	return err
 }
 
-// startRequest marks the connection as active. It returns false where the connection was closed as idle just before its request was
-// read: the client sends that request again elsewhere, so that it must not be forwarded.
+// startRequest marks the connection as active. It returns false if the connection was closed as idle just before its request was read.
+// That request must not be forwarded, because the client sends it again on another connection.
 func (c *clientConn) startRequest() bool {
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
 	return c.acceptor.controller.StartRequest(c.slot)
 }
 
-// endRequest marks the connection as idle. It returns false where it must be closed.
+// endRequest marks the connection as idle. It returns false if the connection must be closed.
 func (c *clientConn) endRequest() bool {
 	c.acceptor.mu.Lock()
 	stays := c.acceptor.controller.EndRequest(time.Now(), c.slot)
@@ -134,18 +134,19 @@
 	c.Conn.SetReadDeadline(c.readDeadline)
 }
 
-// hasInvalidInput reports whether the bytes behind a request begin no request.
+// hasInvalidInput reports whether the bytes after a request cannot start another request.
 func (c *clientConn) hasInvalidInput() bool {
 	return len(c.input) > 0 && (c.input[0] < 'A' || c.input[0] > 'Z')
 }
 
-// abandonInput has the connection closed after the response: what is still on its way cannot be trusted.
+// abandonInput marks the connection to be closed after the response, because further input cannot be trusted.
 func (c *clientConn) abandonInput() {
 	c.closeAfter = true
 	c.lingers = true
 }
 
-// discardBody discards the body of a request that is answered without it. A part that was not received yet is not awaited.
+// discardBody discards the body of a request whose response does not depend on it. It does not wait for bytes that are
+// not received yet: if the body is incomplete, the connection is closed after the response.
 func (c *clientConn) discardBody() {
 	n := c.request.ContentLength
 	if n == 0 {
@@ -159,7 +160,7 @@
 	c.abandonInput()
 }
 
-// reject answers a request that cannot be served with a status, and has the connection closed.
+// reject responds with a status to a request that cannot be served, and closes the connection after the response.
 func (c *clientConn) reject(status int) { c.rejectWith(&Reply{Status: status}) }
 
 func (c *clientConn) rejectWith(r *Reply) {
@@ -172,14 +173,14 @@
 	maxLingerBytes = 1 << 20
 )
 
-// linger discards input so that the client receives the last response: a connection that is closed with unread input is reset, and the
-// response may be lost (RFC 9112, 9.6).
+// linger discards input before the close so that the client receives the last response. Closing a connection with unread input resets
+// it, and the response may be lost (RFC 9112, 9.6).
 func (c *clientConn) linger() {
 	if !c.lingers {
 		return
 	}
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // where it fails the reads below fail, too
+		_ = half.CloseWrite() // if it fails, the reads below fail, too
 	}
 	deadline := time.Now().Add(lingerTimeout)
 	c.setReadDeadline(deadline)
--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -37,7 +37,7 @@
 type countingConn struct {
 	*net.TCPConn
 	readGate atomic.Pointer[chan struct{}] // what has been read waits for its end; nil: nothing waits
-	read atomic.Int64                  // bytes
+	read     atomic.Int64                  // bytes
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
@@ -67,7 +67,7 @@
 // listener hands on the connections that it takes.
 type listener struct {
 	net.Listener
-	readGate  atomic.Pointer[chan struct{}] // of connections that come from now on
+	readGate atomic.Pointer[chan struct{}] // of connections that come from now on
 	accepted chan *countingConn
 }
 
@@ -86,14 +86,14 @@
 type testServer struct {
 	*frontend.Server
 	*listener
-	engine   *engine.Engine
-	client *upstream.Client
-	addr   string
+	engine    *engine.Engine
+	client    *upstream.Client
+	addr      string
 	clientTLS *tls.Config // of clients; nil: plain
 
 	beforeDial atomic.Pointer[func(context.Context) error] // before each connection to an endpoint
 
-	mu   sync.Mutex
+	mu         sync.Mutex
 	arrivedIDs []string // requests' ids, at the endpoints
 }
 
@@ -168,7 +168,7 @@
 // testClient is one, and its connection as the sidecar has it.
 type testClient struct {
 	*lbtest.Client
-	tcp  *net.TCPConn
+	tcp        *net.TCPConn
 	serverConn *countingConn
 }
 
@@ -201,11 +201,11 @@
 
 // waitPoint is where a request waits. It has that of a client wait there; when go on is called the wait is over.
 type waitPoint struct {
-	conns  int
-	bodies int64
-	attemptsBefore  int                   // attempts that have come to an endpoint before its client leaves
-	serve  func(*lbtest.Arrival) // in place of the endpoints' 200
-	wait   func(t *testing.T, d *testServer) (c *testClient, release func())
+	conns          int
+	bodies         int64
+	attemptsBefore int                   // attempts that have come to an endpoint before its client leaves
+	serve          func(*lbtest.Arrival) // in place of the endpoints' 200
+	wait           func(t *testing.T, d *testServer) (c *testClient, release func())
 }
 
 // delayDial has connections to endpoints wait in the given way until release is called.
--- a/internal/edge/frontend/header.go
+++ b/internal/edge/frontend/header.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// isHopByHop reports whether a header concerns one connection alone (RFC 9110, 7.6.1).
+// isHopByHop reports whether a header applies only to a single connection (RFC 9110, 7.6.1).
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -15,7 +15,7 @@
 	return false
 }
 
-// isNominated reports whether the Connection header names a header.
+// isNominated reports whether the values of the Connection header list the given header as hop-by-hop.
 func isNominated(connection []string, header string) bool {
 	for _, line := range connection {
 		for name := range strings.SplitSeq(line, ",") {
@@ -27,7 +27,7 @@
 	return false
 }
 
-// EndToEnd returns the headers that are forwarded. The values are shared with h, the map is not.
+// EndToEnd returns the end-to-end headers of h, which are forwarded. The map is new, but its values are shared with h.
 func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
 	connection := h["Connection"]
@@ -39,8 +39,8 @@
 	return out
 }
 
-// SingleValue returns the value of a header that may occur once at most; ok is false where it occurs more often. The name is in canonical
-// form.
+// SingleValue returns the value of a header that may occur at most once. ok is false if it occurs more often. The name must be in
+// canonical form.
 func SingleValue(h http.Header, name string) (value string, ok bool) {
 	values := h[name]
 	if len(values) == 1 {
--- a/internal/edge/frontend/receivetime_test.go
+++ b/internal/edge/frontend/receivetime_test.go
@@ -20,11 +20,11 @@
 
 // unreadRequest is a way in which a request waits unread, behind a request that an endpoint holds.
 type unreadRequest struct {
-	conns  int
-	bodies int64
-	useTLS bool
-	body   int  // bytes; 0: a GET
-	ownConns  bool // on connections of their own; otherwise on that of the held request
+	conns    int
+	bodies   int64
+	useTLS   bool
+	body     int  // bytes; 0: a GET
+	ownConns bool // on connections of their own; otherwise on that of the held request
 }
 
 // message returns a request with a timeout.
--- a/internal/edge/frontend/receivingsocket.go
+++ b/internal/edge/frontend/receivingsocket.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxUnmeasuredWait is the longest time in which bytes may have waited unnoticed: a small part of the 0.15 s by which the time told to an
-// endpoint may be off (the platform's STANDING page). It bounds how often the system is asked.
+// maxUnmeasuredWait is the longest time that bytes may have waited on the socket without TCP_INFO being queried. It limits how often the
+// query is made. It is a small part of the 0.15 s by which the timeout sent to an endpoint may be off (the platform's STANDING page).
 const maxUnmeasuredWait = 50 * time.Millisecond
 
-// receivingSocket is a client's socket that records when bytes reached this machine. That may be long before they are read: the
-// connection was in the accept queue or waited for a slot, the process stood still, or an earlier request was in flight.
+// receivingSocket is a client's socket that records when bytes reached this machine. Bytes may arrive long before they are read: while
+// the connection is in the accept queue or waits for a slot, while the process is paused, or while an earlier request is in flight.
 //
-// It belongs to the goroutine that reads.
+// Only the goroutine that reads may use it.
 type receivingSocket struct {
 	net.Conn
 	rawConn    syscall.RawConn
-	emptyAt    time.Time // when a read last left nothing unread; zero: never
-	receivedAt time.Time // of the last byte that was read
+	emptyAt    time.Time // when a read last emptied the socket; zero if none did
+	receivedAt time.Time // when the last byte read reached this machine
 }
 
 // Read implements net.Conn.
@@ -40,11 +40,11 @@
 	return n, err
 }
 
-// sinceLastData returns how long ago the last bytes reached the socket (tcp(7), TCP_INFO), in steps of the system's clock tick; 0 where the
-// system does not tell. Where more has followed what was read, it is the time of that.
+// sinceLastData returns how long ago the last bytes reached the socket (tcp(7), TCP_INFO), with the resolution of the system's clock tick.
+// It returns 0 if the system does not report it. If more bytes arrived after the ones that were read, the result refers to the later ones.
 func (s *receivingSocket) sinceLastData() time.Duration {
 	var age time.Duration
-	// Control fails on a closed connection alone, whose requests are not forwarded.
+	// Control fails only on a closed connection, whose requests are not forwarded.
 	_ = s.rawConn.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
--- a/internal/edge/frontend/rejection.go
+++ b/internal/edge/frontend/rejection.go
@@ -9,18 +9,18 @@
 	"silvertrail/internal/edge/admission"
 )
 
-// maxLingering bounds the rejected connections that are kept open.
+// maxLingering is the maximum number of rejected connections that are kept open.
 const maxLingering = 64
 
-// lingeringConns holds rejected connections until their clients have read the reason, or for a short time. Beyond the bound the oldest
-// is closed.
+// lingeringConns holds rejected connections for a short time, so that their clients can read the response. When there are maxLingering
+// of them, adding another one closes the oldest.
 type lingeringConns struct {
 	mu     sync.Mutex
 	conns  []*clientConn
 	closed bool
 }
 
-// add returns false after close.
+// add keeps c open until remove is called or the bound is exceeded. It returns false after close.
 func (l *lingeringConns) add(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,16 +61,16 @@
 	}
 }
 
-// minRetryAfterSeconds is the least Retry-After that the header's form can express.
+// minRetryAfterSeconds is the smallest positive Retry-After value with three decimals, the format that the header is written in.
 const minRetryAfterSeconds = 0.001
 
-// rejectionReply returns the response to a client whose connection is rejected. Each of them promises that nothing took effect.
+// rejectionReply returns the response to a client whose connection is rejected. All its statuses promise that no request took effect.
 func rejectionReply(v admission.Verdict) *Reply {
 	r := &Reply{Status: http.StatusServiceUnavailable, Header: http.Header{}, Close: true}
 	switch v.Reason {
 	case admission.Denied:
 		r.Status = http.StatusForbidden
-	case admission.RateExceeded, admission.SourceFull: // caused by the client itself (RFC 6585, 4)
+	case admission.RateExceeded, admission.SourceFull: // the client itself exceeded a limit (RFC 6585, 4)
 		r.Status = http.StatusTooManyRequests
 	}
 	if v.RetryAfter > 0 {
@@ -79,15 +79,15 @@
 	return r
 }
 
-// internalErrorAlert is sent to a client that is rejected before its TLS handshake: a fatal alert, internal_error (RFC 8446, 6.2).
+// internalErrorAlert is the fatal TLS alert internal_error (RFC 8446, 6.2). It is sent to a client that is rejected before its handshake.
 var internalErrorAlert = []byte{21, 3, 1, 0, 2, 2, 80}
 
-// reject answers a connection that is not admitted before anything was read of it, and closes it. The response fits into the send
-// buffer of a new connection, so that the write does not block.
+// reject responds to a connection that is not admitted and closes it. Nothing was read from the connection yet. The response fits into the
+// send buffer of a new connection, so that the write does not block.
 func (a *acceptor) reject(c *clientConn, v admission.Verdict) {
 	if c.tlsConfig != nil {
 		c.socket.SetWriteDeadline(time.Now().Add(admitInterval))
-		_, _ = c.socket.Write(internalErrorAlert) // the connection is closed in any case
+		_, _ = c.socket.Write(internalErrorAlert) // the connection is closed whether or not the write succeeds
 	} else {
 		c.rejectWith(rejectionReply(v))
 	}
--- a/internal/edge/frontend/request.go
+++ b/internal/edge/frontend/request.go
@@ -11,15 +11,15 @@
 	"silvertrail/internal/balancer/engine"
 )
 
-// memoryRetryAfter is the Retry-After of a request for whose body there was no memory.
+// memoryRetryAfter is the Retry-After value when there is no memory for a request's body.
 const memoryRetryAfter = time.Second
 
-// serve serves one connection to its end.
+// serve serves the requests of one connection until the connection ends.
 func (s *Server) serve(c *clientConn) {
 	defer c.Close()
 	defer func() {
-		if p := recover(); p != nil { // a fault in one request ends one connection
-			s.errorLog.Printf("serving %s: %v\n%s", c.remoteAddr, p, debug.Stack())
+		if p := recover(); p != nil { // a panic while serving a request ends only that connection
+			s.errorLog.Printf("panic while serving %s: %v\n%s", c.remoteAddr, p, debug.Stack())
 		}
 	}()
 	if c.tlsConfig != nil && !c.handshake() {
@@ -44,7 +44,7 @@
 	}
 }
 
-// serveRequest serves the request whose head was read, or rejects it where the status is not 0.
+// serveRequest serves the request whose head was read. If status is not 0, it rejects the request with that status.
 func (s *Server) serveRequest(c *clientConn, status int) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -89,21 +89,21 @@
 	err := b.read(c, maxBytes)
 	receivedAt := c.received.receivedAt
 	switch {
-	case errors.Is(err, errNoBodyMemory): // nothing was sent: a rejection as any other
+	case errors.Is(err, errNoBodyMemory): // nothing was forwarded, so that a retry is safe
 		c.abandonInput()
 		c.respond(x, engine.Result{Rejected: true, RetryAfter: memoryRetryAfter})
 	case err != nil:
 		c.reject(bodyErrorStatus(err))
 	case b.stream != nil:
 		c.serveStream(streaming, b)
-	case c.hasInvalidInput(): // there is more than the length says
+	case c.hasInvalidInput(): // bytes follow the declared length of the body
 		c.reject(http.StatusBadRequest)
 	default:
 		c.serveBuffered(x, b, receivedAt)
 	}
 }
 
-// bodyErrorStatus returns the response status for a body that cannot be read.
+// bodyErrorStatus returns the response status for an error while reading a body.
 func bodyErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, errTooLarge):
@@ -114,48 +114,48 @@
 	return http.StatusBadRequest // incomplete, or malformed
 }
 
-// serveBuffered serves a request whose body is buffered, or that has none.
+// serveBuffered serves a request whose body is completely buffered or empty.
 func (c *clientConn) serveBuffered(x Exchange, b *body, receivedAt time.Time) {
 	if c.tlsConfig != nil {
 		c.readPendingTLS()
 	}
 	c.startWatch()
-	a := x.Do(c.ctx, b.bytes, receivedAt)
+	result := x.Do(c.ctx, b.bytes, receivedAt)
 	c.stopWatch()
 	if c.ctx.Err() != nil {
 		c.closeAfter = true
 	}
-	c.respond(x, a)
+	c.respond(x, result)
 }
 
-// serveStream serves a request whose body is forwarded while it is received. Meanwhile its reader notices a disconnect, then the watch
-// does.
+// serveStream serves a request whose body is forwarded while it is received. Reads of the body detect a disconnect until the body is
+// forwarded. From then on the watch detects it.
 func (c *clientConn) serveStream(x StreamingExchange, b *body) {
-	a := x.Stream(c.ctx, b.bytes, b.stream)
+	result := x.Stream(c.ctx, b.bytes, b.stream)
 	b.stream.Stop()
 	if c.ctx.Err() != nil {
 		c.closeAfter = true
 	}
-	if err := b.stream.clientError(); err != nil && a.Response == nil {
-		x.Reply(engine.Result{}) // records a failure, whatever the policy made of it
+	if err := b.stream.clientError(); err != nil && result.Response == nil {
+		x.Reply(engine.Result{}) // records the request as failed
 		c.reject(bodyErrorStatus(err))
 		return
 	}
 	if !b.stream.IsComplete() || c.hasInvalidInput() {
 		c.abandonInput()
 	}
-	c.respond(x, a)
+	c.respond(x, result)
 }
 
-// respond writes the final response: the exchange's own, or else that of the result.
-func (c *clientConn) respond(x Exchange, a engine.Result) {
-	reply := x.Reply(a)
+// respond writes the final response: the exchange's reply if there is one, otherwise the response to the result.
+func (c *clientConn) respond(x Exchange, result engine.Result) {
+	reply := x.Reply(result)
 	if reply == nil {
-		c.writeResult(a)
+		c.writeResult(result)
 		return
 	}
-	if a.Response != nil && a.Response.Stream != nil {
-		a.Response.Stream.Close()
+	if result.Response != nil && result.Response.Stream != nil {
+		result.Response.Stream.Close()
 	}
 	if reply.Close {
 		c.abandonInput()
--- a/internal/edge/frontend/requesthead.go
+++ b/internal/edge/frontend/requesthead.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	idleTimeout   = 8 * time.Second // of a connection between two requests; clients may count on 2 s
-	deadlineSlack = time.Second     // a deadline is not set again while it is off by less
+	idleTimeout   = 8 * time.Second // for a connection between two requests; clients may rely on 2 s
+	deadlineSlack = time.Second     // a deadline that differs from the wanted one by less is not set again
 	maxHeadBytes  = 16 << 10
 )
 
-// readHead reads the next request's head into c.request. The status is not 0 where the request must be rejected; an error is the
-// connection's, or a timeout.
+// readHead reads the next request's head into c.request. A status other than 0 means that the request must be rejected with it. An error
+// is a failure of the connection or a timeout.
 func (c *clientConn) readHead() (status int, err error) {
 	hasHeadDeadline := c.startHead()
 	for {
@@ -41,15 +41,15 @@
 			return 0, err
 		}
 		c.headStarted.Store(true)
-		if !hasHeadDeadline && httphead.End(c.input) < 0 { // the rest has the time of a head, not of an idle connection
+		if !hasHeadDeadline && httphead.End(c.input) < 0 { // the rest of the head has messageTimeout, not idleTimeout
 			hasHeadDeadline = true
 			c.setReadDeadline(time.Now().Add(messageTimeout))
 		}
 	}
 }
 
-// startHead prepares the state and the deadline for the next head. It reports whether the deadline is already that of a head: of the
-// first one, and of one that has begun.
+// startHead prepares the state and the read deadline for the next head. It reports whether the deadline is messageTimeout: this is so for
+// the first head on the connection and for a head of which bytes were already read. Otherwise it is idleTimeout.
 func (c *clientConn) startHead() bool {
 	now := time.Now()
 	started := len(c.input) > 0
@@ -72,16 +72,16 @@
 	return isFirst || started
 }
 
-// renewDeadline gives a client more time if its deadline has passed while this process stood still, and reports whether it did. What
-// the client has sent meanwhile is on the socket, and a resting connection may be used again: closing it would lose that request.
-func (c *clientConn) renewDeadline(err error, isResting bool) bool {
+// renewDeadline extends the read deadline if it passed while this process was paused, and reports whether it did. Bytes that the client
+// sent during the pause are unread on the socket. A client may also reuse an idle connection, and closing it would lose that request.
+func (c *clientConn) renewDeadline(err error, isIdle bool) bool {
 	now := time.Now()
 	switch {
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return false
 	case !timeout.IsLate(c.readDeadline):
 		return false
-	case isResting:
+	case isIdle:
 		c.setReadDeadline(now.Add(idleTimeout))
 	default:
 		c.setReadDeadline(now.Add(timeout.CatchUp))
@@ -89,7 +89,7 @@
 	return true
 }
 
-// growInput makes room for more input, also where used input was cut off at its front.
+// growInput makes room for more input. It also does so when consumed bytes occupy the front of the buffer.
 func (c *clientConn) growInput() {
 	if len(c.input) < cap(c.input) {
 		return
@@ -98,7 +98,7 @@
 	c.input = c.buffer[:copy(c.buffer, c.input)]
 }
 
-// parseHead fills c.request. The status is not 0 where the request must be rejected.
+// parseHead parses a head into c.request. A status other than 0 means that the request must be rejected with it.
 func (c *clientConn) parseHead(text []byte) (status int) {
 	head, err := httphead.Parse(text)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return c.parseExpect(head.Header["Expect"])
 }
 
-// parseRequestLine splits a request line (RFC 9112, 3). The status is not 0 where the request must be rejected.
+// parseRequestLine splits a request line (RFC 9112, 3). A status other than 0 means that the request must be rejected with it.
 func parseRequestLine(line string) (method, target, proto string, status int) {
 	method, rest, ok := strings.Cut(line, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
@@ -147,7 +147,7 @@
 	return "", "", "", http.StatusBadRequest
 }
 
-// targetHost returns the host of a target in absolute form, which replaces the Host header (RFC 9112, 3.2.2).
+// targetHost returns the host of a request target in absolute form. It replaces the Host header (RFC 9112, 3.2.2).
 func targetHost(target string) (host string, ok bool) {
 	_, host, ok = strings.Cut(target, "://")
 	if !ok || target[0] == '/' {
@@ -159,7 +159,7 @@
 	return host, true
 }
 
-// parseExpect records the expectation 100-continue. The status is not 0 for any other one.
+// parseExpect records whether the client expects 100-continue. It returns 417 for any other expectation, and 0 otherwise.
 func (c *clientConn) parseExpect(values []string) (status int) {
 	c.expectsContinue = false
 	if len(values) == 0 {
--- a/internal/edge/frontend/response.go
+++ b/internal/edge/frontend/response.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	writeTimeout    = 3 * time.Second // for which a client may read nothing of a buffered response
-	maxJoinedBody   = 4 << 10         // a body up to this size is copied behind its head
+	writeTimeout    = 3 * time.Second // how long a client may read nothing of a buffered response
+	maxJoinedBody   = 4 << 10         // a body up to this size is written together with its head in one buffer
 	maxPooledBuffer = 16 << 10
 )
 
-// bufferPool holds buffers for heads, and for what is read ahead under TLS.
+// bufferPool holds buffers for response heads, and for input that is read ahead under TLS.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 2<<10); return &b }}
 
-// writeResult writes the response to a result.
-func (c *clientConn) writeResult(a engine.Result) {
+// writeResult writes the response that represents a result.
+func (c *clientConn) writeResult(result engine.Result) {
 	switch {
-	case a.Response != nil && a.Response.Stream != nil:
-		c.writeStream(a.Response)
-	case a.Response != nil:
-		c.writeResponse(a.Response.Status, a.Response.Header, a.Response.Body, true)
-	case a.Rejected:
+	case result.Response != nil && result.Response.Stream != nil:
+		c.writeStream(result.Response)
+	case result.Response != nil:
+		c.writeResponse(result.Response.Status, result.Response.Header, result.Response.Body, true)
+	case result.Rejected:
 		r := &Reply{Status: http.StatusServiceUnavailable}
-		if a.RetryAfter > 0 {
-			r.Header = http.Header{"Retry-After": {strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}}
+		if result.RetryAfter > 0 {
+			r.Header = http.Header{"Retry-After": {strconv.FormatFloat(result.RetryAfter.Seconds(), 'f', 3, 64)}}
 		}
 		c.writeReply(r)
-	default: // never 429 or 503: those promise that a retry is harmless
+	default: // never 429 or 503, which promise that a retry is safe
 		c.writeReply(&Reply{Status: http.StatusBadGateway})
 	}
 }
 
-// writeReply writes a response of this program's own.
+// writeReply writes a response that this process generated.
 func (c *clientConn) writeReply(r *Reply) { c.writeResponse(r.Status, r.Header, r.Body, false) }
 
-// writeResponse writes a response with its end-to-end headers. One that is forwarded is an endpoint's, whose response to HEAD may give the
-// length of the body that GET would have.
+// writeResponse writes a response with its end-to-end headers. If forwarded is true, the response is an endpoint's. An endpoint's response
+// to HEAD may give the length of the body that GET would have.
 //
-// A response that cannot be written completely ends the connection, so that the client can detect it.
+// If the response cannot be written completely, the connection is closed, so that the client can detect the truncation.
 func (c *clientConn) writeResponse(status int, h http.Header, body []byte, forwarded bool) {
 	c.writeHead(responseHead{status: status, header: h, forwarded: forwarded, size: int64(len(body))}, body)
 }
@@ -56,10 +56,10 @@
 	status    int
 	header    http.Header
 	forwarded bool
-	size      int64 // of the body; -1: not known
+	size      int64 // of the body in bytes; -1 if unknown
 }
 
-// writeHead writes a response's head, with the part of the body that there is already.
+// writeHead writes a response's head together with the part of the body that is available.
 func (c *clientConn) writeHead(head responseHead, body []byte) {
 	now := time.Now()
 	if c.writeDeadline.Sub(now) < writeTimeout-deadlineSlack {
@@ -90,7 +90,7 @@
 	}
 }
 
-// isBodiless reports whether a response has no body, whatever its headers say (RFC 9112, 6.3).
+// isBodiless reports whether a response has no body, regardless of its headers (RFC 9112, 6.3).
 func (c *clientConn) isBodiless(status int) bool {
 	return c.request.Method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
@@ -115,7 +115,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendHeader appends the end-to-end headers, except those that are written here.
+// appendHeader appends the end-to-end headers, except Date and Content-Length where this process writes them itself.
 func (c *clientConn) appendHeader(b []byte, head responseHead) []byte {
 	var nominated []string
 	if head.forwarded {
@@ -139,10 +139,10 @@
 	return b
 }
 
-// appendLength appends the header that delimits the body.
+// appendLength appends the Content-Length or Transfer-Encoding header that delimits the body.
 func (c *clientConn) appendLength(b []byte, head responseHead) []byte {
-	isOwnToHead := c.request.Method == http.MethodHead && !head.forwarded
-	if c.isBodiless(head.status) && !isOwnToHead {
+	isOwnHeadResponse := c.request.Method == http.MethodHead && !head.forwarded
+	if c.isBodiless(head.status) && !isOwnHeadResponse {
 		return b
 	}
 	switch {
@@ -157,7 +157,7 @@
 	return b
 }
 
-// appendValue appends a header's value. Line ends, which would begin another header, become spaces.
+// appendValue appends a header's value. It replaces CR and LF with spaces, because they would start another header.
 func appendValue(b []byte, v string) []byte {
 	if strings.IndexByte(v, '\r') < 0 && strings.IndexByte(v, '\n') < 0 {
 		return append(b, v...)
@@ -177,7 +177,7 @@
 	return err
 }
 
-// cachedDate is a date in the form of RFC 9110, 5.6.7, and its second.
+// cachedDate is a second of Unix time and its text in the format of RFC 9110, 5.6.7.
 type cachedDate struct {
 	unix int64
 	text string
@@ -185,7 +185,7 @@
 
 var lastDate atomic.Pointer[cachedDate]
 
-// formatDate returns the value of the Date header, formatted once a second.
+// formatDate returns the value of the Date header. The text is cached, so that it is formatted once a second.
 func formatDate(now time.Time) string {
 	if d := lastDate.Load(); d != nil && d.unix == now.Unix() {
 		return d.text
--- a/internal/edge/frontend/shutdown.go
+++ b/internal/edge/frontend/shutdown.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	drainInterval   = 50 * time.Millisecond  // between two batches of connections that are closed
+	drainInterval   = 50 * time.Millisecond  // between two batches of idle connections that are closed
 	pendingInterval = 5 * time.Millisecond   // between two checks of the accept queue
-	closeInterval   = 10 * time.Millisecond  // between two checks for requests in flight
-	flushTime       = 100 * time.Millisecond // for writing the last responses
+	closeInterval   = 10 * time.Millisecond  // between two checks for open connections and requests in flight
+	flushTime       = 100 * time.Millisecond // after the deadline, to write the last responses
 )
 
-// Retire has another process accept new connections on the same listening socket, which stays open here. Existing connections are
-// served on; each response asks its client to connect again.
+// Retire stops accepting connections, because another process accepts them on the same listening socket. The socket stays open in this
+// process. Existing connections are served until their next response, which asks the client to connect again (Connection: close).
 func (s *Server) Retire() {
 	s.retired.Store(true)
 	s.setAcceptDeadline(pastDeadline)
 }
 
-// Resume ends a retirement.
+// Resume accepts connections again after Retire.
 func (s *Server) Resume() {
 	if !s.retired.Load() {
 		return
@@ -29,7 +29,7 @@
 	s.wakeAccept()
 }
 
-// setAcceptDeadline sets the deadline of the listener's accept, which fails on a closed listener alone.
+// setAcceptDeadline sets the deadline of the listener's Accept. Setting it fails only on a closed listener.
 func (s *Server) setAcceptDeadline(t time.Time) {
 	if l, ok := s.acceptor.listener.(interface{ SetDeadline(time.Time) error }); ok {
 		_ = l.SetDeadline(t)
@@ -52,16 +52,17 @@
 	return err
 }
 
-// Shutdown ends the service gracefully. It returns when all requests have their responses, or at the deadline, which whoever serves the
-// requests must know beforehand. From now on the readiness check fails.
+// Shutdown shuts the server down gracefully. The readiness check fails from the start. Shutdown returns when all requests have their
+// responses and all connections are closed, or flushTime after the deadline. The caller must give the deadline to the exchanges
+// beforehand.
 //
-// Until serveUntil, clients are served as before, on existing and on new connections; then each connection is closed after the response
-// that it waits for. The listener is closed once its accept queue is empty: the system would reset the connections in it, with the
-// requests that were written.
+// Until serveUntil, clients are served as before, on existing and on new connections. Then each connection is closed after its current
+// response. The listener is closed once its accept queue is empty, because closing it earlier would make the system reset the queued
+// connections and lose the requests written on them.
 //
-// So a planned restart does not reject clients while no other process has taken over: others may just be starting, too, and load
-// balancers notice late. Requests that are accepted shortly before the end have less time here than elsewhere; the policy rejects those
-// that have too little.
+// Serving until serveUntil avoids rejecting clients during a planned restart while no other process has taken over. Other processes may
+// also be starting, and load balancers detect the failed readiness check late. Requests that are accepted shortly before the deadline have
+// less time here than elsewhere. The policy rejects those that have too little time.
 func (s *Server) Shutdown(serveUntil, deadline time.Time) {
 	s.shuttingDown.Store(true)
 	if s.retired.Load() {
@@ -88,8 +89,8 @@
 // isIdle reports whether there is neither a request in flight nor a connection.
 func (s *Server) isIdle() bool { return s.inFlight.Load() == 0 && s.acceptor.count() == 0 }
 
-// drainIdle closes idle connections at a constant rate until the deadline, so that their clients do not all connect to the successor at
-// once.
+// drainIdle closes idle connections at a constant rate until the deadline, so that their clients do not all reconnect to the successor
+// process at once.
 func (s *Server) drainIdle(deadline time.Time) {
 	for {
 		left := time.Until(deadline)
--- a/internal/edge/frontend/stream.go
+++ b/internal/edge/frontend/stream.go
@@ -12,45 +12,46 @@
 
 const (
 	streamBufferBytes = 16 << 10
-	// streamWriteTimeout is how long a client may read nothing of a streamed response. It is longer than for a buffered one, as the
+	// streamWriteTimeout is how long a client may read nothing of a streamed response. It is longer than writeTimeout, because the
 	// response cannot be requested again.
 	streamWriteTimeout = 10 * time.Second
 )
 
-// streamBufferPool holds buffers of streamBufferBytes.
+// streamBufferPool holds buffers of streamBufferBytes bytes.
 var streamBufferPool = sync.Pool{New: func() any { b := make([]byte, streamBufferBytes); return &b }}
 
-// writeStream writes a response whose body is still being received: the endpoint is read as fast as the client reads. One that breaks
-// off ends the connection in a way that the client can detect: short of its length, without the last chunk, or by a reset.
-func (c *clientConn) writeStream(a *upstream.Response) {
-	defer a.Stream.Close()
-	size := a.Stream.Length()
+// writeStream writes a response whose body is still being received. It reads from the endpoint only as fast as the client reads. If the
+// body is truncated, the connection ends in a way that the client can detect: before the declared length, without the last chunk, or by a
+// reset.
+func (c *clientConn) writeStream(response *upstream.Response) {
+	defer response.Stream.Close()
+	size := response.Stream.Length()
 	chunked := size < 0 && c.request.Proto != "HTTP/1.0"
 	if size < 0 && !chunked {
 		c.closeAfter = true
 	}
-	c.writeHead(responseHead{status: a.Status, header: a.Header, forwarded: true, size: size}, nil)
+	c.writeHead(responseHead{status: response.Status, header: response.Header, forwarded: true, size: size}, nil)
 	if c.writeFailed {
 		return
 	}
 	pooled := streamBufferPool.Get().(*[]byte)
 	defer streamBufferPool.Put(pooled)
-	piece := a.Body
+	piece := response.Body
 	for {
 		if len(piece) > 0 && !c.writeChunk(piece, chunked) {
 			return
 		}
-		n, err := a.Stream.Read(*pooled)
+		n, err := response.Stream.Read(*pooled)
 		piece = (*pooled)[:n]
 		switch {
-		case err == io.EOF: //nolint:errorlint // a wrapped one is a body that broke off
+		case err == io.EOF: //nolint:errorlint // a wrapped EOF means a truncated body
 			if len(piece) > 0 && !c.writeChunk(piece, chunked) {
 				return
 			}
 			if chunked && !c.writeParts(streamWriteTimeout, []byte("0\r\n\r\n")) {
 				return
 			}
-			a.Stream.MarkDelivered()
+			response.Stream.MarkDelivered()
 			return
 		case err != nil:
 			c.abort()
@@ -59,7 +60,7 @@
 	}
 }
 
-// writeChunk writes a part of a body, in chunked coding or as it is.
+// writeChunk writes a part of a body, in chunked coding or unchanged. It returns false if the connection was aborted.
 func (c *clientConn) writeChunk(p []byte, chunked bool) bool {
 	if !chunked {
 		return c.writeParts(streamWriteTimeout, p)
@@ -68,7 +69,8 @@
 	return c.writeParts(streamWriteTimeout, append(line, "\r\n"...), p, []byte("\r\n"))
 }
 
-// writeParts writes at most some 64 KiB within a time. It returns false where the connection was aborted.
+// writeParts writes at most about 64 KiB, and aborts the connection if the write fails or takes too long. The timeout is within, or up to
+// deadlineSlack less. It returns false if the connection was aborted.
 func (c *clientConn) writeParts(within time.Duration, parts ...[]byte) bool {
 	if now := time.Now(); c.writeDeadline.Sub(now) < within-deadlineSlack {
 		c.writeDeadline = now.Add(within)
@@ -82,11 +84,11 @@
 	return true
 }
 
-// abort has the connection reset, which no client takes for the end of a complete response.
+// abort marks the connection to be reset on close, so that the client does not take the response for complete.
 func (c *clientConn) abort() {
 	c.closeAfter = true
 	c.lingers = false
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection alone
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 }
--- a/internal/edge/frontend/tls.go
+++ b/internal/edge/frontend/tls.go
@@ -13,7 +13,7 @@
 	"silvertrail/internal/edge/certs"
 )
 
-// TLSConfig has a listener's connections use TLS, with certificate files that may be replaced at any time.
+// TLSConfig is the TLS configuration of a listener's connections. Its certificate files may be replaced at any time.
 type TLSConfig struct {
 	files        certs.Files
 	required     bool
@@ -21,10 +21,11 @@
 
 	mu         sync.Mutex
 	generation int
-	config     *tls.Config // of the generation; kept for the sake of its session tickets
+	config     *tls.Config // for generation; reused so that its session tickets stay valid
 }
 
-// NewTLSConfig reads the files. With an authority clients may present a certificate, and must where it is required.
+// NewTLSConfig reads the certificate files. If they include an authority, clients may present a certificate signed by it. If required is
+// true, they must.
 func NewTLSConfig(files certs.Files, required bool, log *slog.Logger) (*TLSConfig, error) {
 	reloader, err := certs.Open(files, log)
 	if err != nil {
@@ -33,13 +34,14 @@
 	return &TLSConfig{files: files, required: required, certificates: reloader}, nil
 }
 
-// IsFor reports whether the configuration is that of the given files.
+// IsFor reports whether the configuration was created with the given files and the same required setting.
 func (t *TLSConfig) IsFor(files certs.Files, required bool) bool {
 	return t.files == files && t.required == required
 }
 
-// current returns the configuration for a new connection. A new certificate or authority begins a new one, in which the session tickets
-// of the old one are not valid: nobody resumes a session under an authority that is not trusted any more.
+// current returns the configuration for a new connection. It creates a new one when a certificate or the authority was replaced. The
+// session tickets of the old configuration are not valid in the new one, so that no client resumes a session under an authority that is not
+// trusted any more.
 func (t *TLSConfig) current() *tls.Config {
 	certificate, roots, generation := t.certificates.Current()
 	t.mu.Lock()
@@ -59,11 +61,11 @@
 	return t.config
 }
 
-// identificationTimeout bounds the handshake of a connection that was admitted to present a certificate.
+// identificationTimeout is the handshake timeout of a connection that was admitted only to present a certificate.
 const identificationTimeout = time.Second
 
-// handshake makes the TLS handshake, and reports the client's certificate to the admission controller. It returns false where the
-// connection has ended, or was rejected.
+// handshake performs the TLS handshake, and passes the names in the client's certificate to the admission controller. It returns false if
+// the handshake failed or the connection was rejected.
 func (c *clientConn) handshake() bool {
 	timeout := messageTimeout
 	if c.mustIdentify {
@@ -96,7 +98,7 @@
 	return true
 }
 
-// certificateNames returns the DNS names and URIs of a certificate, or its common name where it has neither.
+// certificateNames returns the DNS names and URIs of a certificate, or its common name if it has neither.
 func certificateNames(c *x509.Certificate) (names []string) {
 	names = append(names, c.DNSNames...)
 	for _, u := range c.URIs {
@@ -108,14 +110,14 @@
 	return names
 }
 
-// maxPipelinedBytes bounds the input that is read while a request is in flight: a head.
+// maxPipelinedBytes limits the input that is read while a request is in flight to the size of one head.
 const maxPipelinedBytes = maxHeadBytes
 
-// tlsRecordTimeout is how long the rest of a TLS record is awaited whose beginning was received.
+// tlsRecordTimeout is the maximum wait for the rest of a partially received TLS record.
 const tlsRecordTimeout = 2 * time.Millisecond
 
-// watchTLS watches a connection under TLS, where reading alone distinguishes a next request from a disconnect. What it reads is kept, up
-// to a bound; beyond that only the end of the socket is noticed.
+// watchTLS watches a connection under TLS, where only reading can distinguish a further request from a disconnect. It keeps the input that
+// it reads, up to maxPipelinedBytes. Beyond that it detects only the close of the socket.
 func (c *clientConn) watchTLS() {
 	for len(c.pipelined) < maxPipelinedBytes {
 		err := c.readPipelined()
@@ -130,7 +132,7 @@
 	c.awaitDisconnect()
 }
 
-// readPipelined reads what comes behind the request in flight, and keeps it.
+// readPipelined reads input that follows the current request, and appends it to c.pipelined.
 func (c *clientConn) readPipelined() error {
 	pooled := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(pooled)
@@ -140,12 +142,12 @@
 	return err
 }
 
-// readPendingTLS notices a disconnect that came under TLS while nothing was read, up to the same bound: the request may have waited for
-// memory for longer than it will be in flight. It reads what was received, and waits for nothing but the rest of a record. Nothing else
-// reads meanwhile.
+// readPendingTLS detects a disconnect under TLS that arrived while nothing was read, for example while the request waited for memory. That
+// wait may be longer than the request will be in flight. It reads the input that was received, up to maxPipelinedBytes, and waits only for
+// the rest of a partial record. Nothing else may read from the connection at the same time.
 func (c *clientConn) readPendingTLS() {
 	defer c.clearReadDeadline()
-	deadline := pastDeadline // returns what TLS has decrypted already, and nothing more
+	deadline := pastDeadline // returns only data that TLS has already decrypted
 	for len(c.pipelined) < maxPipelinedBytes {
 		c.Conn.SetReadDeadline(deadline)
 		err := c.readPipelined()
--- a/internal/edge/frontend/watch.go
+++ b/internal/edge/frontend/watch.go
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// watchDelay is how long a request is in flight before its client is watched: most responses come sooner, and a watch costs a
-// goroutine.
+// watchDelay is how long a request is in flight before the watch for a disconnect of its client starts. Most responses arrive earlier,
+// and a watch costs a goroutine.
 const watchDelay = 20 * time.Millisecond
 
-// startWatch has the connection's context end when the client disconnects. A client that closes its sending side alone counts as
-// disconnected, too, as the two cannot be distinguished.
+// startWatch schedules the watch, which cancels the connection's context when the client disconnects. A client that closes only its
+// sending side also counts as disconnected, because the two cases cannot be distinguished.
 func (c *clientConn) startWatch() {
 	c.mu.Lock()
 	c.inFlight = true
@@ -25,7 +25,7 @@
 	}
 }
 
-// watchClient waits for the client's disconnect, and consumes nothing that comes before it.
+// watchClient waits until the client disconnects or the watch is stopped. Input that arrives before the disconnect is not lost.
 func (c *clientConn) watchClient() {
 	c.mu.Lock()
 	if !c.inFlight || c.watchDone != nil {
@@ -44,21 +44,21 @@
 	c.awaitDisconnect()
 }
 
-// awaitDisconnect waits for the end of the socket, also behind unread input.
+// awaitDisconnect waits until the peer closes or resets the socket, even if unread input precedes the close.
 func (c *clientConn) awaitDisconnect() {
 	if c.rawConn.Read(isPeerClosed) == nil {
 		c.cancel()
 	}
 }
 
-// isDisconnected reports whether the client has disconnected by now, also where the watch has not noticed yet. A connection that is
-// closed on this side has no client. It may be called from any goroutine.
+// isDisconnected reports whether the client has disconnected, even if the watch has not detected it yet. A connection that this process
+// closed counts as disconnected. It may be called from any goroutine.
 func (c *clientConn) isDisconnected() bool {
 	if c.ctx.Err() != nil {
 		return true
 	}
 	disconnected := true
-	// Control fails on a closed connection alone.
+	// Control fails only on a closed connection.
 	_ = c.rawConn.Control(func(fd uintptr) { disconnected = isPeerClosed(fd) })
 	if disconnected {
 		c.cancel()
@@ -66,7 +66,7 @@
 	return disconnected
 }
 
-// stopWatch ends the watch; when it returns nothing else reads from the connection.
+// stopWatch ends the watch. After it has returned, nothing else reads from the connection.
 func (c *clientConn) stopWatch() {
 	c.watchTimer.Stop()
 	c.mu.Lock()
@@ -85,18 +85,18 @@
 	}
 }
 
-// hasInput reports whether a part of a head was read, or unread bytes are on the socket.
+// hasInput reports whether part of a head was read, or the socket has unread bytes.
 func (c *clientConn) hasInput() bool { return c.headStarted.Load() || c.hasUnreadBytes() }
 
-// hasUnreadBytes reports whether unread bytes are on the socket.
+// hasUnreadBytes reports whether the socket has unread bytes.
 func (c *clientConn) hasUnreadBytes() bool {
 	hasBytes := false
-	// Control fails on a closed connection alone, which has none.
+	// Control fails only on a closed connection, which has no unread bytes.
 	_ = c.rawConn.Control(func(fd uintptr) { hasBytes, _ = peek(fd) })
 	return hasBytes
 }
 
-// peek reports what is next on a socket without reading it: bytes, its end, or nothing yet.
+// peek reports, without consuming input, whether a socket has unread bytes, or is closed with none. Both are false if nothing arrived.
 func peek(fd uintptr) (hasBytes, isClosed bool) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -109,7 +109,7 @@
 	return true, false
 }
 
-// isPeerClosed reports whether the peer has closed or reset a socket, also behind unread bytes, which hide it from peek.
+// isPeerClosed reports whether the peer has closed or reset a socket. Unlike peek, it detects a close behind unread bytes.
 func isPeerClosed(fd uintptr) bool {
 	hasBytes, isClosed := peek(fd)
 	if !hasBytes {
