--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -33,10 +33,10 @@
 	"silvertrail/lbpolicy"
 )
 
-// countingConn is a connection as the sidecar has it. What is read of it can be held back.
+// countingConn is the sidecar's end of a client's connection. It counts the bytes read and can delay the result of a read.
 type countingConn struct {
 	*net.TCPConn
-	readGate atomic.Pointer[chan struct{}] // what has been read waits for its end; nil: nothing waits
+	readGate atomic.Pointer[chan struct{}] // a read that got bytes returns once this channel is closed; nil: no delay
 	read     atomic.Int64                  // bytes
 }
 
@@ -49,25 +49,25 @@
 	return n, err
 }
 
-// isPeerClosed tells whether the client's end has come to the sidecar's socket, whatever stands before it.
-func (c *countingConn) isPeerClosed() (over bool) {
+// isPeerClosed reports whether the client's FIN or reset has reached the sidecar's socket, even behind unread bytes.
+func (c *countingConn) isPeerClosed() (closed bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	over = true
+	closed = true
 	raw.Control(func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		_, err := unix.Poll(p, 0)
-		over = err == nil && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return over
+	return closed
 }
 
-// listener hands on the connections that it takes.
+// listener wraps each accepted connection in a countingConn and passes it to the test.
 type listener struct {
 	net.Listener
-	readGate atomic.Pointer[chan struct{}] // of connections that come from now on
+	readGate atomic.Pointer[chan struct{}] // the readGate of connections accepted from now on
 	accepted chan *countingConn
 }
 
@@ -76,62 +76,64 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &countingConn{TCPConn: c.(*net.TCPConn)}
-	t.readGate.Store(l.readGate.Load())
-	l.accepted <- t
-	return t, nil
+	conn := &countingConn{TCPConn: c.(*net.TCPConn)}
+	conn.readGate.Store(l.readGate.Load())
+	l.accepted <- conn
+	return conn, nil
 }
 
-// testServer is a sidecar whose sockets the test holds up.
+// testServer is a sidecar in front of two endpoints, whose reads and dials the test can delay.
 type testServer struct {
 	*frontend.Server
 	*listener
 	engine    *engine.Engine
 	client    *upstream.Client
 	addr      string
-	clientTLS *tls.Config // of clients; nil: plain
+	clientTLS *tls.Config // the clients' configuration; nil without TLS
 
-	beforeDial atomic.Pointer[func(context.Context) error] // before each connection to an endpoint
+	beforeDial atomic.Pointer[func(context.Context) error] // called before each dial to an endpoint
 
 	mu         sync.Mutex
-	arrivedIDs []string // requests' ids, at the endpoints
+	arrivedIDs []string // ids of the requests that reached the endpoints
 }
 
-func (d *testServer) requestIDs() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.Clone(d.arrivedIDs)
+// requestIDs returns the ids of the requests that reached the endpoints, in order of arrival.
+func (server *testServer) requestIDs() []string {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return slices.Clone(server.arrivedIDs)
 }
 
-// startTestServer starts one; serve, where it is not nil, answers in place of the endpoints' 200.
-func startTestServer(t *testing.T, maxConns int, bodies int64, secure bool, serve func(*lbtest.Arrival)) *testServer {
+// startTestServer starts a sidecar with two endpoints and bodyMemory bytes for request bodies. If serve is not nil, it responds for the
+// endpoints. Otherwise they respond with 200.
+func startTestServer(t *testing.T, maxConns int, bodyMemory int64, useTLS bool, serve func(*lbtest.Arrival)) *testServer {
 	t.Helper()
-	d := &testServer{listener: &listener{Listener: lbtest.Listen(t), accepted: make(chan *countingConn, 64)}}
-	d.addr = d.Addr().String()
-	c, err := config.Load(lbtest.WriteConfig(t, "", d.addr, "127.0.0.1:1"))
+	server := &testServer{listener: &listener{Listener: lbtest.Listen(t), accepted: make(chan *countingConn, 64)}}
+	server.addr = server.Addr().String()
+	c, err := config.Load(lbtest.WriteConfig(t, "", server.addr, "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	quiet := slog.New(slog.DiscardHandler)
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		if before := d.beforeDial.Load(); before != nil {
+		if before := server.beforeDial.Load(); before != nil {
 			if err := (*before)(ctx); err != nil {
 				return nil, err
 			}
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}
-	d.client = upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: time.Second, MaxConns: 64, Dial: dial, HedgeDials: true, MaxStreamBytes: sidecar.MaxBodyBytes})
-	d.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {}, Client: d.client, Log: quiet})
+	server.client = upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: time.Second, MaxConns: 64, Dial: dial, HedgeDials: true, MaxStreamBytes: sidecar.MaxBodyBytes})
+	server.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {}, Client: server.client, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var list []endpointlist.Endpoint
 	for i := range 2 {
 		e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
-			d.mu.Lock()
-			d.arrivedIDs = append(d.arrivedIDs, a.Request.Header.Get("X-Request-ID"))
-			d.mu.Unlock()
+			server.mu.Lock()
+			server.arrivedIDs = append(server.arrivedIDs, a.Request.Header.Get("X-Request-ID"))
+			server.mu.Unlock()
 			if serve != nil {
 				serve(a)
 				return
@@ -140,91 +142,95 @@
 		})
 		list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("s", i), Address: e.Addr, Zone: "a", Status: "ready"})
 	}
-	d.engine.UpdateEndpoints(lbpolicy.Full, list)
-	d.Server = frontend.New(sidecar.NewRouter(c, d.engine, &counters.Set{}, bodies), d.listener, admission.SingleGroup(maxConns), log.New(io.Discard, "", 0))
-	if secure {
+	server.engine.UpdateEndpoints(lbpolicy.Full, list)
+	server.Server = frontend.New(sidecar.NewRouter(c, server.engine, &counters.Set{}, bodyMemory), server.listener, admission.SingleGroup(maxConns), log.New(io.Discard, "", 0))
+	if useTLS {
 		dir := t.TempDir()
-		a, err := fake.NewAuthority(dir, "authority")
+		authority, err := fake.NewAuthority(dir, "authority")
 		if err != nil {
 			t.Fatal(err)
 		}
 		files := certs.Files{Certificate: filepath.Join(dir, "c.pem"), Key: filepath.Join(dir, "k.pem")}
-		if err := a.Issue(files.Certificate, files.Key, "door", time.Now().Add(time.Hour)); err != nil {
+		if err := authority.Issue(files.Certificate, files.Key, "door", time.Now().Add(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
-		by, err := frontend.NewTLSConfig(files, false, quiet)
+		tlsConfig, err := frontend.NewTLSConfig(files, false, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.SetTLS(by)
-		d.clientTLS = &tls.Config{InsecureSkipVerify: true} // the stand-in's own
+		server.SetTLS(tlsConfig)
+		server.clientTLS = &tls.Config{InsecureSkipVerify: true} // the certificate is the test's own
 	}
-	d.SetReady()
-	go d.Serve()
-	t.Cleanup(func() { d.Server.Close() })
-	return d
+	server.SetReady()
+	go server.Serve()
+	t.Cleanup(func() { server.Server.Close() })
+	return server
 }
 
-// testClient is one, and its connection as the sidecar has it.
+// testClient is a client and the sidecar's end of its connection.
 type testClient struct {
 	*lbtest.Client
 	tcp        *net.TCPConn
 	serverConn *countingConn
 }
 
-func (d *testServer) connectAndSend(t *testing.T, text string) *testClient {
+// connectAndSend connects a client, with TLS if the server uses it, and sends text.
+func (server *testServer) connectAndSend(t *testing.T, text string) *testClient {
 	t.Helper()
-	c := &testClient{Client: lbtest.Dial(t, d.addr)}
+	c := &testClient{Client: lbtest.Dial(t, server.addr)}
 	c.tcp = c.Client.Conn.(*net.TCPConn)
 	select {
-	case c.serverConn = <-d.accepted:
+	case c.serverConn = <-server.accepted:
 	case <-time.After(lbtest.Wait):
-		t.Fatal("the connection is not taken")
+		t.Fatal("the sidecar did not accept the connection")
 	}
-	if d.clientTLS != nil {
-		c.Client = lbtest.NewClient(t, tls.Client(c.tcp, d.clientTLS))
+	if server.clientTLS != nil {
+		c.Client = lbtest.NewClient(t, tls.Client(c.tcp, server.clientTLS))
 	}
 	c.Send(text)
 	return c
 }
 
-// Ways in which a client leaves. What it wrote before its end stands unread before that end.
+// waysToDisconnect are the ways in which a client disconnects. Bytes that it sent before the disconnect may still be unread on the sidecar's
+// socket.
 var waysToDisconnect = map[string]func(*testClient){
-	"closes":                   func(c *testClient) { c.Close() },
-	"closes behind a request":  func(c *testClient) { c.Send(lbtest.Get("behind")); c.Close() },
-	"closes behind many":       func(c *testClient) { c.Send(strings.Repeat(lbtest.Get("behind"), 100)); c.Close() },
-	"resets":                   func(c *testClient) { c.tcp.SetLinger(0); c.tcp.Close() },
-	"resets behind a request":  func(c *testClient) { c.Send(lbtest.Get("behind")); c.tcp.SetLinger(0); c.tcp.Close() },
-	"ends its side":            func(c *testClient) { c.tcp.CloseWrite() },
-	"ends it behind a request": func(c *testClient) { c.Send(lbtest.Get("behind")); c.tcp.CloseWrite() },
+	"closes":                                 func(c *testClient) { c.Close() },
+	"closes behind a request":                func(c *testClient) { c.Send(lbtest.Get("behind")); c.Close() },
+	"closes behind many":                     func(c *testClient) { c.Send(strings.Repeat(lbtest.Get("behind"), 100)); c.Close() },
+	"resets":                                 func(c *testClient) { c.tcp.SetLinger(0); c.tcp.Close() },
+	"resets behind a request":                func(c *testClient) { c.Send(lbtest.Get("behind")); c.tcp.SetLinger(0); c.tcp.Close() },
+	"ends its sending side":                  func(c *testClient) { c.tcp.CloseWrite() },
+	"ends its sending side behind a request": func(c *testClient) { c.Send(lbtest.Get("behind")); c.tcp.CloseWrite() },
 }
 
-// waitPoint is where a request waits. It has that of a client wait there; when go on is called the wait is over.
+// waitPoint is a point at which a request waits before it is forwarded. wait sends a client's request and returns once it waits there. The
+// request continues when release is called.
 type waitPoint struct {
 	conns          int
 	bodies         int64
-	attemptsBefore int                   // attempts that have come to an endpoint before its client leaves
-	serve          func(*lbtest.Arrival) // in place of the endpoints' 200
-	wait           func(t *testing.T, d *testServer) (c *testClient, release func())
+	attemptsBefore int                   // attempts that reached an endpoint before the client disconnects
+	serve          func(*lbtest.Arrival) // responds for the endpoints; nil: they respond with 200
+	wait           func(t *testing.T, server *testServer) (c *testClient, release func())
 }
 
-// delayDial has connections to endpoints wait in the given way until release is called.
-func delayDial(t *testing.T, d *testServer, text string, during func(ctx context.Context, gate chan struct{}) error) (c *testClient, release func()) {
+// delayDial sends a request and makes each dial to an endpoint call waitDial first. It returns once the first dial has begun. release closes
+// the gate that waitDial receives.
+func delayDial(t *testing.T, server *testServer, text string, waitDial func(ctx context.Context, gate chan struct{}) error) (c *testClient, release func()) {
 	t.Helper()
 	gate, began := make(chan struct{}), make(chan struct{}, 64)
 	before := func(ctx context.Context) error {
 		began <- struct{}{}
-		return during(ctx, gate)
+		return waitDial(ctx, gate)
 	}
-	d.beforeDial.Store(&before)
-	c = d.connectAndSend(t, text)
+	server.beforeDial.Store(&before)
+	c = server.connectAndSend(t, text)
 	<-began
 	return c, func() { close(gate) }
 }
 
-// delaySecondDial has the first connection go as the test says, and all others wait until release is called. It returns once the
-// second one has begun.
-func delaySecondDial(t *testing.T, d *testServer, text string, first func(ctx context.Context) error) (c *testClient, release func()) {
+// delaySecondDial sends a request. The first dial to an endpoint calls first, and all later dials wait until release is called. It returns
+// once the second dial has begun.
+func delaySecondDial(t *testing.T, server *testServer, text string, first func(ctx context.Context) error) (c *testClient, release func()) {
 	t.Helper()
 	gate, began := make(chan struct{}), make(chan struct{}, 64)
 	var n atomic.Int64
@@ -235,19 +241,19 @@
 		began <- struct{}{}
 		return waitForGate(ctx, gate)
 	}
-	d.beforeDial.Store(&before)
-	c = d.connectAndSend(t, text)
+	server.beforeDial.Store(&before)
+	c = server.connectAndSend(t, text)
 	select {
 	case <-began:
 	case <-time.After(lbtest.Wait):
-		t.Fatal("no second connection")
+		t.Fatal("no second dial to an endpoint")
 	}
 	return c, func() { close(gate) }
 }
 
 func dialSucceeds(context.Context) error { return nil }
 
-// holdNextRead has a client's next bytes held once the front has read them, until release is called.
+// holdNextRead sends text. The sidecar's read of it does not return until release is called.
 func holdNextRead(t *testing.T, c *testClient, text string) (release func()) {
 	t.Helper()
 	gate := make(chan struct{})
@@ -256,6 +262,7 @@
 	return func() { close(gate) }
 }
 
+// waitForGate waits until the gate is closed or ctx ends.
 func waitForGate(ctx context.Context, gate chan struct{}) error {
 	select {
 	case <-gate:
@@ -265,18 +272,19 @@
 	}
 }
 
+// waitPoints are the points at which a request with the id "left" can wait.
 var waitPoints = map[string]waitPoint{
-	"a head that is read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a head that is read late": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		gate := make(chan struct{})
-		d.readGate.Store(&gate)
-		c := d.connectAndSend(t, lbtest.Get("left"))
-		d.readGate.Store(nil)
+		server.readGate.Store(&gate)
+		c := server.connectAndSend(t, lbtest.Get("left"))
+		server.readGate.Store(nil)
 		return c, func() { close(gate) }
 	}},
-	"the next request of a kept connection, read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"the next request of a kept connection, read late": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		c := d.connectAndSend(t, lbtest.Get("first"))
+		c := server.connectAndSend(t, lbtest.Get("first"))
 		if status, _ := c.Response(); status != 200 {
 			t.Fatal(status)
 		}
@@ -285,13 +293,13 @@
 		c.Send(lbtest.Get("left"))
 		return c, func() { close(gate) }
 	}},
-	"a dial that comes up late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a slow dial": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delayDial(t, d, lbtest.Get("left"), waitForGate)
+		return delayDial(t, server, lbtest.Get("left"), waitForGate)
 	}},
-	"a descriptor": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a free descriptor for the dial": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delayDial(t, d, lbtest.Get("left"), func(ctx context.Context, gate chan struct{}) error {
+		return delayDial(t, server, lbtest.Get("left"), func(ctx context.Context, gate chan struct{}) error {
 			select {
 			case <-gate:
 				return nil
@@ -300,217 +308,218 @@
 			}
 		})
 	}},
-	"a dial while the process ends": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a dial during shutdown": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		c, release := delayDial(t, d, lbtest.Get("left"), waitForGate)
-		by := time.Now().Add(lbtest.Wait)
-		d.engine.ShutDownBy(by)
-		go d.Shutdown(time.Now(), by)
+		c, release := delayDial(t, server, lbtest.Get("left"), waitForGate)
+		deadline := time.Now().Add(lbtest.Wait)
+		server.engine.ShutDownBy(deadline)
+		go server.Shutdown(time.Now(), deadline)
 		return c, release
 	}},
-	"memory for its body": {bodies: 64 << 10, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"memory for its body": {bodies: 64 << 10, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		body := strings.Repeat("x", 40<<10)
-		first, release := delayDial(t, d, lbtest.Post("first", body), waitForGate) // it has the memory
-		c := d.connectAndSend(t, lbtest.Post("left", body))
+		first, release := delayDial(t, server, lbtest.Post("first", body), waitForGate) // reserves most of the body memory
+		c := server.connectAndSend(t, lbtest.Post("left", body))
 		return c, func() {
 			release()
 			if status, _ := first.Response(); status != 200 {
-				t.Error("the one before it: ", status)
+				t.Error("status of the request that held the resource: ", status)
 			}
 			first.Close()
 		}
 	}},
-	"a slow body, whose end is read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a slow body, whose end is read late": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		text := lbtest.Post("left", strings.Repeat("x", 2000))
-		c := d.connectAndSend(t, text[:len(text)-1000])
-		lbtest.Until(t, "its beginning is read", func() bool { return c.serverConn.read.Load() == int64(len(text)-1000) })
+		c := server.connectAndSend(t, text[:len(text)-1000])
+		lbtest.Until(t, "the beginning of the body has been read", func() bool { return c.serverConn.read.Load() == int64(len(text)-1000) })
 		return c, holdNextRead(t, c, text[len(text)-1000:])
 	}},
-	"a dial, of an HTTP/1.0 caller": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a dial for an HTTP/1.0 client": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delayDial(t, d, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1), waitForGate)
+		return delayDial(t, server, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1), waitForGate)
 	}},
-	"a head of HTTP/1.0 that is read late": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"an HTTP/1.0 head that is read late": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		gate := make(chan struct{})
-		d.readGate.Store(&gate)
-		c := d.connectAndSend(t, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1))
-		d.readGate.Store(nil)
+		server.readGate.Store(&gate)
+		c := server.connectAndSend(t, strings.Replace(lbtest.Get("left"), "HTTP/1.1", "HTTP/1.0", 1))
+		server.readGate.Store(nil)
 		return c, func() { close(gate) }
 	}},
-	"a second dial, while the first hangs": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a second dial, while the first hangs": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delaySecondDial(t, d, lbtest.Get("left"), func(ctx context.Context) error {
+		return delaySecondDial(t, server, lbtest.Get("left"), func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
 		})
 	}},
-	"the first dial, while the second hangs": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"the first dial, while the second hangs": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		gate := make(chan struct{})
-		c, end := delaySecondDial(t, d, lbtest.Get("left"), func(ctx context.Context) error { return waitForGate(ctx, gate) })
-		t.Cleanup(end)
+		c, releaseSecond := delaySecondDial(t, server, lbtest.Get("left"), func(ctx context.Context) error { return waitForGate(ctx, gate) })
+		t.Cleanup(releaseSecond)
 		return c, func() { close(gate) }
 	}},
-	"a retry's dial, after one that failed": {wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a retry's dial, after one that failed": {wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delaySecondDial(t, d, lbtest.Get("left"), func(context.Context) error {
+		return delaySecondDial(t, server, lbtest.Get("left"), func(context.Context) error {
 			return &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 		})
 	}},
 	"a retry's dial, after an endpoint that failed": {attemptsBefore: 1, serve: func(a *lbtest.Arrival) {
 		a.Write([]byte("HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-	}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	}, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delaySecondDial(t, d, lbtest.Get("left"), dialSucceeds)
+		return delaySecondDial(t, server, lbtest.Get("left"), dialSucceeds)
 	}},
 	"a keyed request's retry": {attemptsBefore: 1, serve: func(a *lbtest.Arrival) {
 		a.Write([]byte("HTTP/1.1 500 Internal Server Error\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-	}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	}, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delaySecondDial(t, d, lbtest.Post("left", "x"), dialSucceeds)
+		return delaySecondDial(t, server, lbtest.Post("left", "x"), dialSucceeds)
 	}},
-	"a second copy, or the attempt after one that is silent": {attemptsBefore: 1, serve: func(*lbtest.Arrival) {}, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a second copy, or the attempt after one that is silent": {attemptsBefore: 1, serve: func(*lbtest.Arrival) {}, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		return delaySecondDial(t, d, lbtest.Get("left"), dialSucceeds)
+		return delaySecondDial(t, server, lbtest.Get("left"), dialSucceeds)
 	}},
-	"a slot of the listener": {conns: 1, wait: func(t *testing.T, d *testServer) (*testClient, func()) {
+	"a slot of the listener": {conns: 1, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
-		first, release := delayDial(t, d, lbtest.Get("first"), waitForGate)
-		c := d.connectAndSend(t, lbtest.Get("left"))
+		first, release := delayDial(t, server, lbtest.Get("first"), waitForGate)
+		c := server.connectAndSend(t, lbtest.Get("left"))
 		return c, func() {
 			release()
 			if status, _ := first.Response(); status != 200 {
-				t.Error("the one before it: ", status)
+				t.Error("status of the request that held the resource: ", status)
 			}
 			first.Close()
 		}
 	}},
 }
 
-// Nothing of a request goes out once its client has left, wherever it waited and however the client left, and its client's
-// end leaves nothing behind. Here the end stands on the sidecar's socket before the wait is over, every time.
-func TestLeftWhileWaiting(t *testing.T) {
+// A request must not be forwarded after its client disconnected, whatever the request waited for and however the client disconnected. The
+// connection and the request must be released. In each case the disconnect reaches the sidecar's socket before the wait ends.
+func TestRequestIsNotForwardedAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	for name, p := range waitPoints {
+	for name, point := range waitPoints {
 		for how, leave := range waysToDisconnect {
 			t.Run(name+"/"+how, func(t *testing.T) {
 				t.Parallel()
 				conns, bodies := 8, int64(1<<20)
-				if p.conns > 0 {
-					conns = p.conns
+				if point.conns > 0 {
+					conns = point.conns
 				}
-				if p.bodies > 0 {
-					bodies = p.bodies
+				if point.bodies > 0 {
+					bodies = point.bodies
 				}
-				d := startTestServer(t, conns, bodies, false, p.serve)
-				c, release := p.wait(t, d)
+				server := startTestServer(t, conns, bodies, false, point.serve)
+				c, release := point.wait(t, server)
 				leave(c)
-				lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
+				lbtest.Until(t, "disconnect on the sidecar's socket", c.serverConn.isPeerClosed)
 				release()
-				if strings.HasPrefix(how, "ends") { // it still reads: one answer, which promises nothing
+				if strings.HasPrefix(how, "ends") { // the client still reads: it gets one response, which must not promise a safe retry
 					if status, _ := c.Response(); status < 400 || status == 429 || status == 503 {
-						t.Errorf("answered %d", status)
+						t.Errorf("unexpected status %d", status)
 					}
 					if rest := c.AwaitClose(); rest != "" {
-						t.Errorf("and then %q", rest)
+						t.Errorf("after the response came %q, want nothing", rest)
 					}
 				}
-				expectReleased(t, d, "behind")
-				if got := d.requestIDs(); slices.Contains(got[:min(p.attemptsBefore, len(got))], "behind") || slices.Contains(got[min(p.attemptsBefore, len(got)):], "left") {
-					t.Errorf("endpoints got %q, of the one that left at most %d", got, p.attemptsBefore)
+				expectReleased(t, server, "behind")
+				if got := server.requestIDs(); slices.Contains(got[:min(point.attemptsBefore, len(got))], "behind") || slices.Contains(got[min(point.attemptsBefore, len(got)):], "left") {
+					t.Errorf("endpoints got requests %q, want none after the disconnect and at most %d attempts before it", got, point.attemptsBefore)
 				}
 			})
 		}
 	}
 }
 
-// expectReleased waits until nobody is there, and holds what came to the endpoints against what must not have.
-func expectReleased(t *testing.T, d *testServer, not ...string) {
+// expectReleased waits until all connections and requests are released, and fails if a request with a forbidden id reached an endpoint.
+func expectReleased(t *testing.T, server *testServer, forbidden ...string) {
 	t.Helper()
-	lbtest.Until(t, "no connection and no call is held", func() bool { return d.Conns() == 0 && d.engine.InFlight() == 0 })
-	for _, id := range d.requestIDs() {
-		if slices.Contains(not, id) {
-			t.Errorf("%q came to an endpoint", id)
+	lbtest.Until(t, "all connections and requests released", func() bool { return server.Conns() == 0 && server.engine.InFlight() == 0 })
+	for _, id := range server.requestIDs() {
+		if slices.Contains(forbidden, id) {
+			t.Errorf("request %q reached an endpoint", id)
 		}
 	}
 }
 
-// Under TLS the end stands behind what only reading tells apart: close_notify and FIN behind a request, or the former alone.
-func TestLeftUnderTLS(t *testing.T) {
+// Under TLS only reading can distinguish a disconnect from a further request. The client sends close_notify with a FIN, or close_notify
+// alone, with or without requests before it. Its first request must be cancelled in each case.
+func TestDisconnectUnderTLSCancelsRequest(t *testing.T) {
 	t.Parallel()
 	behind := lbtest.Get("behind")
 	for how, text := range map[string]string{"closes": "", "closes behind a request": behind, "closes behind many": strings.Repeat(behind, 100)} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			d := startTestServer(t, 8, 1<<20, true, nil)
-			c, release := delayDial(t, d, lbtest.Get("left"), waitForGate)
+			server := startTestServer(t, 8, 1<<20, true, nil)
+			c, release := delayDial(t, server, lbtest.Get("left"), waitForGate)
 			c.Send(text)
 			c.Close()
-			lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
+			lbtest.Until(t, "disconnect on the sidecar's socket", c.serverConn.isPeerClosed)
 			release()
-			expectReleased(t, d, "left", "behind")
+			expectReleased(t, server, "left", "behind")
 		})
 	}
-	for how, text := range map[string]string{"notifies alone": "", "notifies behind a request": behind,
-		"notifies behind all that is looked at": strings.Repeat(behind, 15<<10/len(behind))} {
+	for how, text := range map[string]string{"sends close_notify alone": "", "sends close_notify behind a request": behind,
+		"sends close_notify behind as much as is read ahead": strings.Repeat(behind, 15<<10/len(behind))} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			d := startTestServer(t, 8, 1<<20, true, nil)
-			gaveUp := make(chan struct{}, 64)
-			c, release := delayDial(t, d, lbtest.Get("left"), func(ctx context.Context, gate chan struct{}) error {
-				<-ctx.Done() // its attempt is given up: the watch has read the end
-				gaveUp <- struct{}{}
+			server := startTestServer(t, 8, 1<<20, true, nil)
+			cancelled := make(chan struct{}, 64)
+			c, release := delayDial(t, server, lbtest.Get("left"), func(ctx context.Context, gate chan struct{}) error {
+				<-ctx.Done() // the attempt is cancelled: the watch has read close_notify
+				cancelled <- struct{}{}
 				return ctx.Err()
 			})
 			defer release()
 			c.Send(text)
 			c.Conn.(*tls.Conn).CloseWrite()
 			select {
-			case <-gaveUp:
+			case <-cancelled:
 			case <-time.After(lbtest.Wait):
-				t.Fatal("the end was not noticed")
+				t.Fatal("the disconnect was not detected")
 			}
 			if status, _ := c.Response(); status != 502 {
-				t.Errorf("answered %d", status)
+				t.Errorf("unexpected status %d", status)
 			}
-			expectReleased(t, d, "left", "behind")
-			if n := len(gaveUp); n > 0 {
-				t.Errorf("%d more attempts were made for it", n)
+			expectReleased(t, server, "left", "behind")
+			if n := len(cancelled); n > 0 {
+				t.Errorf("%d more attempts after the disconnect, want none", n)
 			}
 		})
 	}
 }
 
-// awaitDelivery waits until all that a client has written stands at the other end.
+// awaitDelivery waits until the sidecar's socket has received all bytes that the client sent.
 func (c *testClient) awaitDelivery(t *testing.T) {
 	t.Helper()
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	lbtest.Until(t, "all has come", func() (all bool) {
+	lbtest.Until(t, "all sent bytes acknowledged", func() (delivered bool) {
 		raw.Control(func(fd uintptr) {
 			n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-			all = err == nil && n == 0
+			delivered = err == nil && n == 0
 		})
-		return all
+		return delivered
 	})
 }
 
-// Under TLS a request is not begun either whose client's close_notify, with no FIN, came while nobody read: the watch, which
-// reads it, begins later.
-func TestLeftUnderTLSBeforeItBegins(t *testing.T) {
+// Under TLS a request must not be forwarded if its client's close_notify, without a FIN, arrived while the sidecar did not read. The watch
+// would read the close_notify only after the request was forwarded.
+func TestDisconnectUnderTLSBeforeForwardingIsDetected(t *testing.T) {
 	t.Parallel()
 	behind := lbtest.Get("behind")
-	for how, text := range map[string]string{"notifies alone": "", "notifies behind a request": behind,
-		"notifies behind all that is looked at": strings.Repeat(behind, 15<<10/len(behind))} {
+	for how, text := range map[string]string{"sends close_notify alone": "", "sends close_notify behind a request": behind,
+		"sends close_notify behind as much as is read ahead": strings.Repeat(behind, 15<<10/len(behind))} {
 		t.Run("the next request, read late/"+how, func(t *testing.T) {
 			t.Parallel()
-			d := startTestServer(t, 8, 1<<20, true, nil)
-			c := d.connectAndSend(t, lbtest.Get("first"))
+			server := startTestServer(t, 8, 1<<20, true, nil)
+			c := server.connectAndSend(t, lbtest.Get("first"))
 			if status, _ := c.Response(); status != 200 {
 				t.Fatal(status)
 			}
@@ -520,38 +529,39 @@
 			c.awaitDelivery(t)
 			release()
 			if status, _ := c.Response(); status != 502 {
-				t.Errorf("answered %d", status)
+				t.Errorf("unexpected status %d", status)
 			}
-			expectReleased(t, d, "left", "behind")
+			expectReleased(t, server, "left", "behind")
 		})
 		t.Run("memory for its body/"+how, func(t *testing.T) {
 			t.Parallel()
-			d := startTestServer(t, 8, 64<<10, true, nil)
+			server := startTestServer(t, 8, 64<<10, true, nil)
 			body := strings.Repeat("x", 40<<10)
-			first, release := delayDial(t, d, lbtest.Post("first", body), waitForGate) // it has the memory
-			c := d.connectAndSend(t, lbtest.Post("left", body))
+			first, release := delayDial(t, server, lbtest.Post("first", body), waitForGate) // reserves most of the body memory
+			c := server.connectAndSend(t, lbtest.Post("left", body))
 			c.Send(text)
 			c.Conn.(*tls.Conn).CloseWrite()
 			c.awaitDelivery(t)
 			release()
 			if status, _ := first.Response(); status != 200 {
-				t.Error("the one before it: ", status)
+				t.Error("status of the request that held the resource: ", status)
 			}
 			first.Close()
 			if status, _ := c.Response(); status != 502 {
-				t.Errorf("answered %d", status)
+				t.Errorf("unexpected status %d", status)
 			}
-			expectReleased(t, d, "left", "behind")
+			expectReleased(t, server, "left", "behind")
 		})
 	}
 }
 
-// Clients that stay are served all the same whose next requests stand there already under TLS, in whole and in part.
-func TestAheadUnderTLS(t *testing.T) {
+// Under TLS the requests of a connected client are served even if its next requests, complete or partial, are already received. The check
+// for a disconnect reads them ahead and must not lose them.
+func TestPipelinedRequestsUnderTLSAreServed(t *testing.T) {
 	t.Parallel()
-	for _, n := range []int{1, 20, 400} { // the last are more than is looked at
-		d := startTestServer(t, 8, 1<<20, true, nil)
-		first := d.connectAndSend(t, lbtest.Get("first"))
+	for _, n := range []int{1, 20, 400} { // 400 requests exceed the bytes that the sidecar reads ahead
+		server := startTestServer(t, 8, 1<<20, true, nil)
+		first := server.connectAndSend(t, lbtest.Get("first"))
 		if status, _ := first.Response(); status != 200 {
 			t.Fatal(status)
 		}
@@ -564,57 +574,59 @@
 		release()
 		for i := range n {
 			if status, body := first.Response(); status != 200 || body != fmt.Sprint("answer to n", i) {
-				t.Fatalf("%d of %d: %d %q", i, n, status, body)
+				t.Fatalf("request %d of %d: status %d, body %q", i, n, status, body)
 			}
 		}
 		first.Close()
-		expectReleased(t, d)
+		expectReleased(t, server)
 	}
 }
 
-// A retry is not sent for a client that has left behind bytes that nobody read: its first attempt fails only then.
-func TestLeftBeforeRetry(t *testing.T) {
+// A failed attempt must not be retried after the client disconnected, even if unread bytes precede the disconnect. The first attempt fails
+// only after the disconnect has reached the sidecar.
+func TestNoRetryAfterDisconnect(t *testing.T) {
 	t.Parallel()
 	for how, leave := range waysToDisconnect {
 		if !strings.Contains(how, "behind") {
-			continue // the first attempt is given up within 20 ms, or its failure comes first
+			continue // without unread bytes the watch may cancel the first attempt, within 20 ms, before it fails
 		}
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			arrived := make(chan *lbtest.Arrival, 64)
-			d := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
-			c := d.connectAndSend(t, lbtest.Get("left"))
+			server := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
+			c := server.connectAndSend(t, lbtest.Get("left"))
 			first := <-arrived
 			leave(c)
-			lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
+			lbtest.Until(t, "disconnect on the sidecar's socket", c.serverConn.isPeerClosed)
 			first.Write([]byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"))
-			expectReleased(t, d, "behind")
-			if got := d.requestIDs(); len(got) != 1 {
-				t.Errorf("endpoints got %q", got)
+			expectReleased(t, server, "behind")
+			if got := server.requestIDs(); len(got) != 1 {
+				t.Errorf("endpoints got requests %q, want the first attempt alone", got)
 			}
 		})
 	}
 }
 
-// A large body ends with its client: what of it stands on the socket before the end is not passed on. Here all of it does.
-func TestLeftWithinBody(t *testing.T) {
+// A large body must not be forwarded completely if its client disconnects before the body was read, even if all of it is on the
+// sidecar's socket.
+func TestLargeBodyIsNotCompletedAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	const size, first = 100_000, 70_000 // more than is held whole, less than what a socket holds
-	d := startTestServer(t, 8, 1<<20, false, nil)
+	const size, first = 100_000, 70_000 // bytes; more than is buffered completely, less than a socket buffer
+	server := startTestServer(t, 8, 1<<20, false, nil)
 	began := make(chan struct{}, 64)
-	before := func(context.Context) error { //nolint:unparam // the type is that of a dial that may fail
+	before := func(context.Context) error { //nolint:unparam // the signature is that of a dial hook that may fail
 		began <- struct{}{}
 		return nil
 	}
-	d.beforeDial.Store(&before)
-	c := d.connectAndSend(t, lbtest.Head("POST", "write", "left", "Idempotency-Key: k", fmt.Sprintf("Content-Length: %d", size)))
+	server.beforeDial.Store(&before)
+	c := server.connectAndSend(t, lbtest.Head("POST", "write", "left", "Idempotency-Key: k", fmt.Sprintf("Content-Length: %d", size)))
 	c.Send(strings.Repeat("x", first))
 	<-began
 	gate := make(chan struct{})
 	c.serverConn.readGate.Store(&gate)
 	c.Send(strings.Repeat("x", size-first))
 	c.Close()
-	lbtest.Until(t, "the end has come", c.serverConn.isPeerClosed)
+	lbtest.Until(t, "disconnect on the sidecar's socket", c.serverConn.isPeerClosed)
 	close(gate)
-	expectReleased(t, d, "left") // endpoints take a request down once its body is whole
+	expectReleased(t, server, "left") // endpoints record a request once its body is complete
 }
--- a/internal/edge/frontend/hang_test.go
+++ b/internal/edge/frontend/hang_test.go
@@ -7,17 +7,17 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// A request whose endpoint has answered another one after it came, and hangs then, is answered by another endpoint and not given up at its
-// deadline (docs/incidents/stopped-after-an-answer.md).
-func TestEndpointHangsAfterAnAnswer(t *testing.T) {
+// A request must be retried received another endpoint if its own endpoint responds to another request and then hangs. The later response must not
+// hide the hang until the request's deadline (docs/incidents/stopped-after-an-answer.md).
+func TestRequestIsRetriedWhenEndpointHangsAfterResponse(t *testing.T) {
 	t.Parallel()
-	const requests = 4 // two at each endpoint
+	const requests = 4 // for two endpoints, so that one of them gets received least two
 	arrivals := make(chan *lbtest.Arrival, 2*requests)
-	d := startTestServer(t, 64, 1<<20, false, func(a *lbtest.Arrival) { arrivals <- a })
+	server := startTestServer(t, 64, 1<<20, false, func(a *lbtest.Arrival) { arrivals <- a })
 	clients := map[string]*testClient{}
 	for n := range requests {
 		id := fmt.Sprint("r", n)
-		clients[id] = d.connectAndSend(t, lbtest.Get(id))
+		clients[id] = server.connectAndSend(t, lbtest.Get(id))
 	}
 	byEndpoint := map[string][]*lbtest.Arrival{}
 	for range requests {
@@ -25,26 +25,26 @@
 		address := a.LocalAddr().String()
 		byEndpoint[address] = append(byEndpoint[address], a)
 	}
-	var left *lbtest.Arrival
-	for _, at := range byEndpoint {
-		if left == nil && len(at) > 1 {
-			left = at[0]
-			at = at[1:]
+	var hanging *lbtest.Arrival
+	for _, received := range byEndpoint {
+		if hanging == nil && len(received) > 1 {
+			hanging = received[0]
+			received = received[1:]
 		}
-		for _, a := range at {
+		for _, a := range received {
 			a.OK()
 		}
 	}
-	if left == nil {
-		t.Fatal("no two requests came to one endpoint")
+	if hanging == nil {
+		t.Fatal("no endpoint received two requests")
 	}
-	leftID := left.Request.Header.Get("X-Request-Id")
+	hangingID := hanging.Request.Header.Get("X-Request-Id")
 	for id, c := range clients {
-		if id == leftID {
+		if id == hangingID {
 			continue
 		}
 		if status, _ := c.Response(); status != 200 {
-			t.Errorf("%s: %d", id, status)
+			t.Errorf("request %s: status %d, want 200", id, status)
 		}
 	}
 	go func() {
@@ -52,7 +52,7 @@
 			a.OK()
 		}
 	}()
-	if status, body := clients[leftID].Response(); status != 200 || body != "answer to "+leftID {
-		t.Errorf("the request that was left: %d %q", status, body)
+	if status, body := clients[hangingID].Response(); status != 200 || body != "answer to "+hangingID {
+		t.Errorf("request on the hanging endpoint: status %d, body %q", status, body)
 	}
 }
--- a/internal/edge/frontend/protocol_test.go
+++ b/internal/edge/frontend/protocol_test.go
@@ -9,17 +9,17 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// What the protocol asks of a server beside plain requests.
-func TestProtocol(t *testing.T) {
+// HTTP requires these responses to other versions, to malformed request lines and Host headers, and to Connection and Expect headers.
+func TestHTTPVersionsAndConnectionHeaders(t *testing.T) {
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	_, addr := startServer(t, e.Addr, 32)
 	for name, c := range map[string]struct {
 		text string
-		want string // what the answer begins with
-		ends bool
+		want string // prefix of the response
+		ends bool   // the connection is closed after the response
 	}{
 		"HTTP/1.0":                  {strings.Replace(lbtest.Get("a"), "HTTP/1.1", "HTTP/1.0", 1), "HTTP/1.1 200 OK\r\n", true},
-		"told to close":             {lbtest.Get("b", "Connection: close"), "HTTP/1.1 200 OK\r\n", true},
+		"a close is requested":      {lbtest.Get("b", "Connection: close"), "HTTP/1.1 200 OK\r\n", true},
 		"HTTP/2":                    {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "HTTP/1.1 505 ", true},
 		"no version":                {"GET /read\r\nHost: x\r\n\r\n", "HTTP/1.1 400 ", true},
 		"four words":                {"GET /read x HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 400 ", true},
@@ -28,7 +28,7 @@
 		"a method that is no token": {"G@T /read HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 400 ", true},
 		"an unknown expectation":    {lbtest.Get("e", "Expect: wonders"), "HTTP/1.1 417 ", true},
 		"bytes beyond ASCII":        {strings.Replace(lbtest.Get("f"), "/read", "/read/\xff", 1), "HTTP/1.1 400 ", true},
-		"expects to be asked": {lbtest.Head("POST", "write", "g", "Idempotency-Key: k", "Content-Length: 2", "Expect: 100-continue", "Connection: close"),
+		"100-continue is expected": {lbtest.Head("POST", "write", "g", "Idempotency-Key: k", "Content-Length: 2", "Expect: 100-continue", "Connection: close"),
 			"HTTP/1.1 100 Continue\r\n\r\n", false},
 		"ready": {"GET /health/ready?x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "HTTP/1.1 200 OK\r\n", true},
 	} {
@@ -38,24 +38,24 @@
 			conn.Send(c.text)
 			if c.ends {
 				if got := conn.AwaitClose(); !strings.HasPrefix(got, c.want) || strings.Count(got, "HTTP/1.1 ") != 1 || !strings.Contains(got, "\r\nConnection: close") {
-					t.Errorf("got %q, want %q and the end", got, c.want)
+					t.Errorf("got %q, want one response that begins with %q, has Connection: close, and is followed by the close", got, c.want)
 				}
 				return
 			}
 			got := make([]byte, len(c.want))
 			if _, err := conn.Read(got); err != nil || string(got) != c.want {
-				t.Fatalf("got %q, %v", got, err)
+				t.Fatalf("got %q, error %v, want 100 Continue", got, err)
 			}
 			conn.Send("ok")
 			if status, _ := conn.Response(); status != 200 {
-				t.Errorf("status %d", status)
+				t.Errorf("status %d, want 200", status)
 			}
 		})
 	}
 }
 
-// Several requests written at once are answered one after the other, whatever the cuts between the writes.
-func TestPipelined(t *testing.T) {
+// Pipelined requests must be answered in order, regardless of how the bytes are split into writes.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	_, addr := startServer(t, e.Addr, 8)
 	var text string
@@ -77,36 +77,36 @@
 		}()
 		for i := range 20 {
 			if status, body := c.Response(); status != 200 || body != fmt.Sprintf("answer to c%d-%d", cut, i) {
-				t.Fatalf("cuts of %d, request %d: %d %q", cut, i, status, body)
+				t.Fatalf("writes of %d bytes, request %d: status %d, body %q", cut, i, status, body)
 			}
 		}
 	}
 }
 
-// A client that goes is noticed while its request is in flight: the attempt is given up and nothing is held. One that
-// stays is not disturbed by the watch, and its next request is read whole.
-func TestCallerGoes(t *testing.T) {
+// A disconnect while a request is in flight must cancel the attempt and release the connection. A client that stays connected must not be
+// affected by the watch for a disconnect, and its next request must be read completely.
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	e := lbtest.NewEndpoint(t, nil)
 	s, addr := startServer(t, e.Addr, 8)
-	goes, stays := lbtest.Dial(t, addr), lbtest.Dial(t, addr)
-	goes.Send(lbtest.Get("goes"))
-	left := <-e.Arrivals
-	stays.Send(lbtest.Get("stays"))
+	leaving, staying := lbtest.Dial(t, addr), lbtest.Dial(t, addr)
+	leaving.Send(lbtest.Get("goes"))
+	cancelled := <-e.Arrivals
+	staying.Send(lbtest.Get("stays"))
 	held := <-e.Arrivals
-	time.Sleep(100 * time.Millisecond) // the watch has begun; less does no harm
-	stays.Send(lbtest.Get("next"))     // comes while the watch looks on
-	goes.Close()
-	left.SetReadDeadline(time.Now().Add(lbtest.Wait))
-	if n, err := left.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Error("the attempt of a caller that has gone is still out")
+	time.Sleep(100 * time.Millisecond) // the watch has started by then; if it has not, the test checks less but does not fail
+	staying.Send(lbtest.Get("next"))   // arrives while the watch is running
+	leaving.Close()
+	cancelled.SetReadDeadline(time.Now().Add(lbtest.Wait))
+	if n, err := cancelled.Read(make([]byte, 1)); n > 0 || err == nil {
+		t.Error("the attempt of a disconnected client was not cancelled")
 	}
 	held.OK()
-	if status, body := stays.Response(); status != 200 || body != "answer to stays" {
-		t.Errorf("%d %q", status, body)
+	if status, body := staying.Response(); status != 200 || body != "answer to stays" {
+		t.Errorf("status %d, body %q", status, body)
 	}
 	(<-e.Arrivals).OK()
-	if status, body := stays.Response(); status != 200 || body != "answer to next" {
-		t.Errorf("%d %q", status, body)
+	if status, body := staying.Response(); status != 200 || body != "answer to next" {
+		t.Errorf("status %d, body %q", status, body)
 	}
-	lbtest.Until(t, "one connection", func() bool { return s.Conns() == 1 })
+	lbtest.Until(t, "only the connected client's connection open", func() bool { return s.Conns() == 1 })
 }
--- a/internal/edge/frontend/receivetime_test.go
+++ b/internal/edge/frontend/receivetime_test.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	unreadTime   = 400 * time.Millisecond // for which a request waits unread
-	timeoutSlack = 150 * time.Millisecond // of the time that an endpoint is told (the platform's STANDING page)
+	unreadTime   = 400 * time.Millisecond // how long a request waits unread
+	timeoutSlack = 150 * time.Millisecond // tolerance of the timeout sent to an endpoint (the platform's STANDING page)
 	ampleTimeout = 5 * time.Second
 	shortTimeout = unreadTime / 2
 )
 
-// unreadRequest is a way in which a request waits unread, behind a request that an endpoint holds.
+// unreadRequest is a case in which requests wait unread while an endpoint delays its response to an earlier request.
 type unreadRequest struct {
 	conns    int
 	bodies   int64
 	useTLS   bool
-	body     int  // bytes; 0: a GET
-	ownConns bool // on connections of their own; otherwise on that of the held request
+	body     int  // size in bytes; 0: a GET without a body
+	ownConns bool // each request uses a connection of its own; otherwise that of the earlier request
 }
 
-// message returns a request with a timeout.
+// message returns the text of a request with a timeout.
 func (u *unreadRequest) message(id string, timeout time.Duration) string {
 	header := fmt.Sprintf("X-Timeout-Ms: %d", timeout.Milliseconds())
 	if u.body > 0 {
@@ -36,9 +36,9 @@
 	return lbtest.Get(id, header)
 }
 
-// A request that waited unread is not forwarded with the whole time that its client had given it, nor after that time
-// (docs/incidents/time-counted-from-read.md).
-func TestTimeCountsFromReceipt(t *testing.T) {
+// The timeout of a request counts from its receipt, not from when it is read. A request that waited unread must be forwarded with the
+// remaining time, and must not be forwarded after its timeout (docs/incidents/time-counted-from-read.md).
+func TestTimeoutCountsFromReceipt(t *testing.T) {
 	t.Parallel()
 	for name, unread := range map[string]unreadRequest{
 		"in the accept queue":                  {conns: 1, bodies: 1 << 20, ownConns: true},
@@ -56,7 +56,8 @@
 	}
 }
 
-// run has one request held at its endpoint, and others unread behind it: two with ample time, and one whose time is over when it is read.
+// run sends one request whose response the endpoint delays, and three that wait unread in the meantime: two with an ample timeout, and one
+// whose timeout has passed when it is read.
 func (u *unreadRequest) run(t *testing.T) {
 	t.Helper()
 	type arrival struct {
@@ -66,7 +67,7 @@
 	}
 	arrivals := make(chan arrival, 16)
 	held := make(chan *lbtest.Arrival, 1)
-	d := startTestServer(t, u.conns, u.bodies, u.useTLS, func(a *lbtest.Arrival) {
+	server := startTestServer(t, u.conns, u.bodies, u.useTLS, func(a *lbtest.Arrival) {
 		at := time.Now()
 		id := a.Request.Header.Get("X-Request-ID")
 		if id == "held" {
@@ -80,9 +81,9 @@
 		arrivals <- arrival{id, at, time.Duration(ms) * time.Millisecond}
 		a.OK()
 	})
-	first := u.dial(t, d)
+	first := u.dial(t, server)
 	first.Send(u.message("held", ampleTimeout))
-	h := <-held
+	delayed := <-held
 
 	timeouts := map[string]time.Duration{"ample": ampleTimeout, "short": shortTimeout, "ample too": ampleTimeout}
 	sentAt := map[string]time.Time{}
@@ -91,7 +92,7 @@
 	for _, id := range order {
 		clients[id] = first
 		if u.ownConns {
-			clients[id] = lbtest.Dial(t, d.addr)
+			clients[id] = lbtest.Dial(t, server.addr)
 		}
 	}
 	for _, id := range order {
@@ -99,9 +100,9 @@
 		clients[id].Send(u.message(id, timeouts[id]))
 	}
 	time.Sleep(unreadTime)
-	h.OK()
+	delayed.OK()
 	if status, _ := first.Response(); status != 200 {
-		t.Fatalf("held: %d", status)
+		t.Fatalf("delayed request: status %d, want 200", status)
 	}
 	if u.ownConns {
 		first.Close()
@@ -113,7 +114,7 @@
 			want = 503
 		}
 		if status, _ := c.Response(); status != want {
-			t.Errorf("%s: %d, not %d", id, status, want)
+			t.Errorf("request %s: status %d, want %d", id, status, want)
 		}
 		if u.ownConns {
 			c.Close()
@@ -121,17 +122,18 @@
 	}
 	close(arrivals)
 	for a := range arrivals {
-		if left := timeouts[a.id] - a.at.Sub(sentAt[a.id]); a.timeout > left+timeoutSlack {
-			t.Errorf("%s came with %v where %v were left", a.id, a.timeout, left)
+		if remaining := timeouts[a.id] - a.at.Sub(sentAt[a.id]); a.timeout > remaining+timeoutSlack {
+			t.Errorf("request %s was forwarded with a timeout of %v, but only %v remained", a.id, a.timeout, remaining)
 		}
 	}
 }
 
-func (u *unreadRequest) dial(t *testing.T, d *testServer) *lbtest.Client {
+// dial connects a client, with TLS if the case uses it.
+func (u *unreadRequest) dial(t *testing.T, server *testServer) *lbtest.Client {
 	t.Helper()
-	c := lbtest.Dial(t, d.addr)
+	c := lbtest.Dial(t, server.addr)
 	if u.useTLS {
-		return lbtest.NewClient(t, tls.Client(c.Conn, d.clientTLS))
+		return lbtest.NewClient(t, tls.Client(c.Conn, server.clientTLS))
 	}
 	return c
 }
--- a/internal/edge/frontend/shutdown_test.go
+++ b/internal/edge/frontend/shutdown_test.go
@@ -8,22 +8,22 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// awaitRead waits until the sidecar has read all that a client has written.
+// awaitRead waits until the sidecar has read size bytes from the client.
 func (c *testClient) awaitRead(t *testing.T, size int64) {
 	t.Helper()
-	lbtest.Until(t, "it is read", func() bool { return c.serverConn.read.Load() >= size })
+	lbtest.Until(t, "all sent bytes read by the sidecar", func() bool { return c.serverConn.read.Load() >= size })
 }
 
-// A request of which a part had come when connections were closed is served once the rest has: on a new connection and on a
-// kept one, whose state is idle until the head is whole.
-func TestEndWithinHead(t *testing.T) {
+// A request whose head is partially received when a shutdown closes idle connections must be served once the rest arrives. This holds for
+// a new connection and for a kept-alive one, which counts as idle until its next head is complete.
+func TestShutdownServesPartiallyReceivedHead(t *testing.T) {
 	t.Parallel()
 	for name, kept := range map[string]bool{"new": false, "kept": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := startTestServer(t, 8, 1<<20, false, nil)
+			server := startTestServer(t, 8, 1<<20, false, nil)
 			text := lbtest.Get("slow")
-			c, before := d.connectAndSend(t, ""), ""
+			c, before := server.connectAndSend(t, ""), ""
 			if kept {
 				before = lbtest.Get("before")
 				c.Send(before)
@@ -32,51 +32,51 @@
 				}
 			}
 			from := 0
-			for _, n := range []int{20, 30} { // as the second piece is read the first one has been taken note of
+			for _, n := range []int{20, 30} { // once the second part is read, the first one has been recorded
 				c.Send(text[from:n])
 				c.awaitRead(t, int64(len(before)+n))
 				from = n
 			}
-			idle := d.connectAndSend(t, "")
+			idle := server.connectAndSend(t, "")
 			idle.Send(lbtest.Get("idle"))
 			if status, _ := idle.Response(); status != 200 {
 				t.Fatal(status)
 			}
-			by := time.Now().Add(lbtest.Wait)
-			d.engine.ShutDownBy(by)
+			deadline := time.Now().Add(lbtest.Wait)
+			server.engine.ShutDownBy(deadline)
 			ended := make(chan struct{})
-			go func() { d.Shutdown(time.Now(), by); close(ended) }()
-			if rest := idle.AwaitClose(); rest != "" { // what stands idle has been closed
-				t.Errorf("before the end came %q", rest)
+			go func() { server.Shutdown(time.Now(), deadline); close(ended) }()
+			if rest := idle.AwaitClose(); rest != "" { // idle connections have been closed
+				t.Errorf("the idle connection got %q before its close", rest)
 			}
 			c.Send(text[30:])
 			if status, body := c.Response(); status != 200 || body != "answer to slow" {
-				t.Errorf("%d %q", status, body)
+				t.Errorf("status %d, body %q", status, body)
 			}
 			<-ended
 		})
 	}
 }
 
-// At the last moment of an end what an endpoint holds and never answers gets its answer, and so does what comes on the
-// connection from then on: one each, at once, and nothing of it goes out.
-func TestEndHangs(t *testing.T) {
+// At the shutdown deadline a request whose endpoint never responds must get an error response at once. Later requests on the connection
+// must each get 503 at once and must not be forwarded.
+func TestRequestsAfterShutdownDeadlineAreRejected(t *testing.T) {
 	t.Parallel()
 	arrived := make(chan *lbtest.Arrival, 8)
-	d := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
-	c := d.connectAndSend(t, lbtest.Get("held"))
+	server := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
+	c := server.connectAndSend(t, lbtest.Get("held"))
 	<-arrived
-	d.engine.ShutDownBy(time.Now())
+	server.engine.ShutDownBy(time.Now())
 	if status, _ := c.Response(); status < 500 {
-		t.Errorf("held: %d", status)
+		t.Errorf("request in flight at the deadline: status %d, want 5xx", status)
 	}
 	for _, text := range []string{lbtest.Get("late"), lbtest.Post("late-2", "x")} {
 		c.Send(text)
 		if status, _ := c.Response(); status != 503 {
-			t.Errorf("one that came after the end: %d, want a refusal, as nothing of it went out", status)
+			t.Errorf("request after the deadline: status %d, want 503, as it was not forwarded", status)
 		}
 	}
-	if got := strings.Join(d.requestIDs(), " "); got != "held" {
-		t.Errorf("endpoints got %q", got)
+	if got := strings.Join(server.requestIDs(), " "); got != "held" {
+		t.Errorf("endpoints got requests %q, want the first one alone", got)
 	}
 }
--- a/internal/edge/frontend/stream_test.go
+++ b/internal/edge/frontend/stream_test.go
@@ -17,7 +17,7 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// pattern gives bytes that differ with their place, so that none is lost, doubled or moved unseen.
+// pattern is a reader whose bytes depend on their offset, so that checkPattern detects lost, duplicated and moved bytes.
 type pattern struct{ offset, size int }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -32,7 +32,7 @@
 	return n, nil
 }
 
-// checkPattern tells whether a body is a pattern of a size.
+// checkPattern returns an error unless a body is the pattern of the given size.
 func checkPattern(r io.Reader, size int) error {
 	var got, want [32 << 10]byte
 	p := &pattern{size: size}
@@ -41,18 +41,19 @@
 		n, err := r.Read(got[:])
 		io.ReadFull(p, want[:n])
 		if total += n; !bytes.Equal(got[:n], want[:n]) || total > size {
-			return fmt.Errorf("not as sent, before byte %d", total)
+			return fmt.Errorf("body differs from the pattern before byte %d", total)
 		}
 		if err == io.EOF && total == size {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%d of %d bytes: %w", total, size, err)
+			return fmt.Errorf("body truncated: got %d of %d bytes: %w", total, size, err)
 		}
 	}
 }
 
-// startPatternEndpoint is an endpoint that checks bodies and answers with as many bytes as X-Want says, in chunks where X-Chunks does.
+// startPatternEndpoint starts an endpoint and returns its address. The endpoint checks request bodies and counts the complete ones in arrived.
+// It responds with X-Want bytes, in chunked coding if X-Chunks is set.
 func startPatternEndpoint(t *testing.T, arrived *atomic.Int64) string {
 	t.Helper()
 	l := lbtest.Listen(t)
@@ -62,7 +63,7 @@
 		fmt.Sscan(r.Header.Get("X-Want"), &want)
 		if err := checkPattern(r.Body, size); err != nil {
 			if size >= 0 && r.Header.Get("X-Breaks") == "" {
-				t.Errorf("at the endpoint: %v", err)
+				t.Errorf("request body at the endpoint: %v", err)
 			}
 			panic(http.ErrAbortHandler)
 		}
@@ -77,7 +78,7 @@
 	return l.Addr().String()
 }
 
-// sendPattern sends a keyed request with a body of a size, in chunks where the length is not to be told.
+// sendPattern sends a keyed request with a pattern of the given size as its body, in chunked coding if chunks is true.
 func sendPattern(c net.Conn, id string, size int, chunks bool, lines ...string) {
 	lines = append(lines, "Idempotency-Key: k-"+id, fmt.Sprint("X-Size: ", size))
 	if !chunks {
@@ -98,17 +99,17 @@
 	io.WriteString(c, "0\r\nX-Trailer: t\r\n\r\n")
 }
 
-// Bodies and answers pass whole, whatever their size and framing, many at a time, with clients that read slowly, and what
-// stands behind them on the connection is served too.
-func TestLargeBothWays(t *testing.T) {
+// Bodies of requests and responses must be forwarded completely, regardless of size and framing, with many requests in flight and with
+// clients that read slowly. The next request on each connection must be served, too.
+func TestLargeBodiesAreForwardedUnchanged(t *testing.T) {
 	var arrived atomic.Int64
 	_, addr := startServer(t, startPatternEndpoint(t, &arrived), 64)
 	var all sync.WaitGroup
 	sizes := []int{64<<10 - 1, 64 << 10, 64<<10 + 1, 100_000, 1 << 20, 5 << 20, 32 << 20}
-	asked := int64(0)
+	sent := int64(0)
 	for i, size := range sizes {
 		for _, chunks := range []bool{false, true} {
-			asked += 2
+			sent += 2
 			all.Go(func() {
 				c, err := net.Dial("tcp", addr)
 				if err != nil {
@@ -126,7 +127,7 @@
 					go sendPattern(c, fmt.Sprintf("%d-%t-%d", size, chunks, n), size, chunks, lines...)
 					r, err := http.ReadResponse(br, nil)
 					if err != nil || r.StatusCode != http.StatusOK || r.Close {
-						t.Errorf("%d bytes, chunks %t: %v %v", size, chunks, r, err)
+						t.Errorf("body of %d bytes, chunked %t: response %v, error %v", size, chunks, r, err)
 						return
 					}
 					var body io.Reader = r.Body
@@ -134,7 +135,7 @@
 						body = slowReader{r.Body}
 					}
 					if err := checkPattern(body, sizes[len(sizes)-1-i]); err != nil {
-						t.Errorf("%d bytes, chunks %t: %v", size, chunks, err)
+						t.Errorf("response to a body of %d bytes, chunked %t: %v", size, chunks, err)
 						return
 					}
 				}
@@ -142,11 +143,12 @@
 		}
 	}
 	all.Wait()
-	if arrived.Load() != asked {
-		t.Errorf("%d arrived of %d", arrived.Load(), asked)
+	if arrived.Load() != sent {
+		t.Errorf("%d complete requests at the endpoint, want %d", arrived.Load(), sent)
 	}
 }
 
+// slowReader reads at most 8 KiB per millisecond.
 type slowReader struct{ io.Reader }
 
 func (s slowReader) Read(p []byte) (int, error) {
@@ -154,7 +156,8 @@
 	return s.Reader.Read(p[:min(len(p), 8<<10)])
 }
 
-// startRawEndpoint is an endpoint whose every byte is the test's: each connection's reader stands behind the first request's head.
+// startRawEndpoint starts an endpoint and returns its address. serve writes the raw response to the first request on each connection, whose
+// head has been read.
 func startRawEndpoint(t *testing.T, serve func(c net.Conn, r *http.Request)) string {
 	t.Helper()
 	l := lbtest.Listen(t)
@@ -175,16 +178,16 @@
 	return l.Addr().String()
 }
 
-// An answer that breaks off midway is told as broken: short of its length, without its last chunk, or by a reset, and its
-// request goes to nobody else.
-func TestAnswerBreaksOff(t *testing.T) {
+// The client must be able to detect a response that the endpoint truncates: by a close before the declared length or the last chunk, or by a
+// reset. The request must not be retried.
+func TestTruncatedResponseIsDetectable(t *testing.T) {
 	var arrived atomic.Int64
 	half := strings.Repeat("x", 100<<10)
 	for name, c := range map[string]struct{ head, proto string }{
-		"with a length":            {"Content-Length: 200000\r\n", "HTTP/1.1"},
-		"in chunks":                {"Transfer-Encoding: chunked\r\n", "HTTP/1.1"},
-		"in chunks, to HTTP/1.0":   {"Transfer-Encoding: chunked\r\n", "HTTP/1.0"},
-		"noise in place of chunks": {"Transfer-Encoding: chunked\r\nX-Noise: 1\r\n", "HTTP/1.1"},
+		"with a length":               {"Content-Length: 200000\r\n", "HTTP/1.1"},
+		"in chunks":                   {"Transfer-Encoding: chunked\r\n", "HTTP/1.1"},
+		"in chunks, to HTTP/1.0":      {"Transfer-Encoding: chunked\r\n", "HTTP/1.0"},
+		"malformed chunk in the body": {"Transfer-Encoding: chunked\r\nX-Noise: 1\r\n", "HTTP/1.1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrived.Store(0)
@@ -206,36 +209,36 @@
 			conn.Send(strings.Replace(lbtest.Get("one"), "HTTP/1.1", c.proto, 1))
 			r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				return // it broke before anything was read: told
+				return // truncated before the head was read: detected
 			}
 			n, err := io.Copy(io.Discard, r.Body)
 			if err == nil {
-				t.Errorf("taken for whole with %d bytes", n)
+				t.Errorf("the truncated response of %d bytes was read without an error", n)
 			}
 			if arrived.Load() != 1 {
-				t.Errorf("%d attempts", arrived.Load())
+				t.Errorf("%d attempts, want 1", arrived.Load())
 			}
 		})
 	}
 }
 
-// An endpoint that answers before the body is over is heard, while the client still sends.
-func TestAnsweredEarly(t *testing.T) {
+// A response that the endpoint sends before the request's body is complete must be forwarded while the client is still sending.
+func TestResponseBeforeEndOfBodyIsForwarded(t *testing.T) {
 	e := startRawEndpoint(t, func(c net.Conn, r *http.Request) { io.WriteString(c, lbtest.OK("early")) })
 	_, addr := startServer(t, e, 8)
 	c := lbtest.Dial(t, addr)
 	c.Send(lbtest.Head("POST", "write", "a", "Idempotency-Key: k", "Content-Length: 1000000") + strings.Repeat("x", 200<<10))
 	if status, body := c.Response(); status != 200 || body != "early" {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q", status, body)
 	}
 }
 
-// A body that ends before its time never comes whole to an endpoint, and one that can't be sent again goes to one endpoint
-// at most; one of which nothing is gone yet goes to the next.
-func TestBodiesAndAttempts(t *testing.T) {
+// A truncated request body must not reach an endpoint as a complete one. A body too large to be buffered goes to at most one endpoint. If
+// no byte of it was sent yet, the request is retried at another endpoint.
+func TestLargeBodyIsSentOnceAtMost(t *testing.T) {
 	var arrived atomic.Int64
 	good := startPatternEndpoint(t, &arrived)
-	t.Run("broken by its caller", func(t *testing.T) {
+	t.Run("truncated by its client", func(t *testing.T) {
 		_, addr := startServer(t, good, 8)
 		for _, framing := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 			c := lbtest.Dial(t, addr)
@@ -246,50 +249,50 @@
 			io.Copy(c, &pattern{size: 200_000})
 			c.Conn.(*net.TCPConn).CloseWrite()
 			if status, _ := c.Response(); status == 200 || status == 429 || status == 503 {
-				t.Errorf("%s: %d", framing, status)
+				t.Errorf("%s: status %d, want an error that promises no safe retry", framing, status)
 			}
 		}
 		if arrived.Load() != 0 {
-			t.Error("came whole")
+			t.Error("a truncated body reached the endpoint as a complete one")
 		}
 	})
-	t.Run("nobody listens at one of two", func(t *testing.T) {
+	t.Run("one of two endpoints refuses connections", func(t *testing.T) {
 		l := lbtest.Listen(t)
-		gone := l.Addr().String()
+		refusing := l.Addr().String()
 		l.Close()
-		_, addr := startServer(t, gone+" "+good, 8)
+		_, addr := startServer(t, refusing+" "+good, 8)
 		for i := range 4 {
 			c := lbtest.Dial(t, addr)
 			go sendPattern(c, fmt.Sprint("retried-", i), 300_000, false, "X-Want: 2")
 			if status, _ := c.Response(); status != 200 {
-				t.Errorf("status %d", status)
+				t.Errorf("unexpected status %d", status)
 			}
 		}
 	})
-	t.Run("one dies with half of it", func(t *testing.T) {
+	t.Run("the endpoint resets within the body", func(t *testing.T) {
 		arrived.Store(0)
-		var took atomic.Int64
-		dies := startRawEndpoint(t, func(c net.Conn, r *http.Request) {
+		var attempts atomic.Int64
+		resetting := startRawEndpoint(t, func(c net.Conn, r *http.Request) {
 			io.CopyN(io.Discard, r.Body, 150_000)
-			took.Add(1)
+			attempts.Add(1)
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
-		_, addr := startServer(t, dies+" "+dies, 8)
+		_, addr := startServer(t, resetting+" "+resetting, 8)
 		c := lbtest.Dial(t, addr)
 		go sendPattern(c, "once", 30<<20, false, "X-Want: 2")
-		// What has not come whole has not run: its client may try again.
+		// An incomplete request was not executed, so that the client may retry it.
 		if status, _ := c.Response(); status != 503 && status != 0 {
-			t.Errorf("status %d", status)
+			t.Errorf("unexpected status %d", status)
 		}
-		if took.Load() != 1 {
-			t.Errorf("%d attempts", took.Load())
+		if attempts.Load() != 1 {
+			t.Errorf("%d attempts, want 1", attempts.Load())
 		}
 	})
 }
 
-// An answer in small pieces is passed on whole, though it takes longer in all than an endpoint may be silent.
-func TestSlowPieces(t *testing.T) {
+// A response in small parts must be forwarded completely, even if it takes longer in all than an endpoint may be silent.
+func TestSlowResponseIsForwarded(t *testing.T) {
 	const pieces = 12
 	e := startRawEndpoint(t, func(c net.Conn, r *http.Request) {
 		text := lbtest.OK(strings.Repeat("y", pieces*4))
@@ -302,17 +305,18 @@
 	c := lbtest.Dial(t, addr)
 	c.Send(lbtest.Get("one"))
 	if status, body := c.Response(); status != 200 || body != strings.Repeat("y", pieces*4) {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q", status, body)
 	}
 }
 
-// A client that goes after its large body was passed on whole is noticed: the endpoint's connection ends, and so does the work.
-func TestLeavesAfterLargeBody(t *testing.T) {
+// A disconnect after a large body was forwarded completely must be detected. The connection to the endpoint is closed, so that the endpoint
+// can stop its work.
+func TestDisconnectAfterLargeBodyCancelsAttempt(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	e := startRawEndpoint(t, func(c net.Conn, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		close(got)
-		io.Copy(io.Discard, c) // until the sidecar ends it
+		io.Copy(io.Discard, c) // until the sidecar closes the connection
 		close(ended)
 	})
 	_, addr := startServer(t, e, 8)
@@ -323,6 +327,6 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second): // the class's deadline is 10 s
-		t.Error("the work goes on for a caller who has gone")
+		t.Error("the connection to the endpoint is still open 5 s after the client's disconnect")
 	}
 }
