--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -206,8 +206,8 @@
 // waitPoint is a point at which a request waits before it is forwarded. wait sends a client's request and returns once it waits there. The
 // request continues when release is called.
 type waitPoint struct {
-	conns          int
-	bodies         int64
+	conns          int                   // capacity of the listener in connections; 0: 8
+	bodies         int64                 // memory for request bodies in bytes; 0: 1 MiB
 	attemptsBefore int                   // attempts that reached an endpoint before the client disconnects
 	serve          func(*lbtest.Arrival) // responds for the endpoints; nil: they respond with 200
 	wait           func(t *testing.T, server *testServer) (c *testClient, release func())
@@ -380,7 +380,7 @@
 		t.Helper()
 		return delaySecondDial(t, server, lbtest.Post("left", "x"), dialSucceeds)
 	}},
-	"a second copy, or the attempt after one that is silent": {attemptsBefore: 1, serve: func(*lbtest.Arrival) {}, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
+	"a hedged request, or the retry after an attempt without a response": {attemptsBefore: 1, serve: func(*lbtest.Arrival) {}, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		return delaySecondDial(t, server, lbtest.Get("left"), dialSucceeds)
 	}},
@@ -420,10 +420,10 @@
 				release()
 				if strings.HasPrefix(how, "ends") { // the client still reads: it gets one response, which must not promise a safe retry
 					if status, _ := c.Response(); status < 400 || status == 429 || status == 503 {
-						t.Errorf("unexpected status %d", status)
+						t.Errorf("status %d, want an error other than 429 and 503", status)
 					}
 					if rest := c.AwaitClose(); rest != "" {
-						t.Errorf("after the response came %q, want nothing", rest)
+						t.Errorf("after the response came %q, want the close", rest)
 					}
 				}
 				expectReleased(t, server, "behind")
@@ -483,7 +483,7 @@
 				t.Fatal("the disconnect was not detected")
 			}
 			if status, _ := c.Response(); status != 502 {
-				t.Errorf("unexpected status %d", status)
+				t.Errorf("status %d, want 502", status)
 			}
 			expectReleased(t, server, "left", "behind")
 			if n := len(cancelled); n > 0 {
@@ -529,7 +529,7 @@
 			c.awaitDelivery(t)
 			release()
 			if status, _ := c.Response(); status != 502 {
-				t.Errorf("unexpected status %d", status)
+				t.Errorf("status %d, want 502", status)
 			}
 			expectReleased(t, server, "left", "behind")
 		})
@@ -548,7 +548,7 @@
 			}
 			first.Close()
 			if status, _ := c.Response(); status != 502 {
-				t.Errorf("unexpected status %d", status)
+				t.Errorf("status %d, want 502", status)
 			}
 			expectReleased(t, server, "left", "behind")
 		})
--- a/internal/edge/frontend/receivetime_test.go
+++ b/internal/edge/frontend/receivetime_test.go
@@ -20,8 +20,8 @@
 
 // unreadRequest is a case in which requests wait unread while an endpoint delays its response to an earlier request.
 type unreadRequest struct {
-	conns    int
-	bodies   int64
+	conns    int   // capacity of the listener in connections
+	bodies   int64 // memory for request bodies in bytes
 	useTLS   bool
 	body     int  // size in bytes; 0: a GET without a body
 	ownConns bool // each request uses a connection of its own; otherwise that of the earlier request
--- a/internal/edge/frontend/server_test.go
+++ b/internal/edge/frontend/server_test.go
@@ -95,7 +95,7 @@
 				go c.Send(text)
 				status, _ := c.Response()
 				if status != 0 && status < 400 || status == 503 || status == 429 {
-					t.Errorf("unexpected status %d", status)
+					t.Errorf("status %d, want an error other than 429 and 503", status)
 				}
 				c.AwaitClose()
 			})
@@ -152,7 +152,7 @@
 		duplicate := lbtest.Dial(t, addr)
 		duplicate.Send(lbtest.Get("one"))
 		if status, _ := duplicate.Response(); status != 409 {
-			t.Errorf("unexpected status %d", status)
+			t.Errorf("status %d, want 409", status)
 		}
 		if a != nil {
 			a.OK()
@@ -181,7 +181,7 @@
 	c := lbtest.Dial(t, addr)
 	c.Send(lbtest.Get("one"))
 	if status, _ := c.Response(); status != 200 {
-		t.Errorf("unexpected status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 }
 
--- a/internal/edge/frontend/stream_test.go
+++ b/internal/edge/frontend/stream_test.go
@@ -249,7 +249,7 @@
 			io.Copy(c, &pattern{size: 200_000})
 			c.Conn.(*net.TCPConn).CloseWrite()
 			if status, _ := c.Response(); status == 200 || status == 429 || status == 503 {
-				t.Errorf("%s: status %d, want an error that promises no safe retry", framing, status)
+				t.Errorf("%s: status %d, want an error other than 429 and 503", framing, status)
 			}
 		}
 		if arrived.Load() != 0 {
@@ -265,7 +265,7 @@
 			c := lbtest.Dial(t, addr)
 			go sendPattern(c, fmt.Sprint("retried-", i), 300_000, false, "X-Want: 2")
 			if status, _ := c.Response(); status != 200 {
-				t.Errorf("unexpected status %d", status)
+				t.Errorf("status %d, want 200", status)
 			}
 		}
 	})
@@ -283,7 +283,7 @@
 		go sendPattern(c, "once", 30<<20, false, "X-Want: 2")
 		// An incomplete request was not executed, so that the client may retry it.
 		if status, _ := c.Response(); status != 503 && status != 0 {
-			t.Errorf("unexpected status %d", status)
+			t.Errorf("status %d, want 503 or no response", status)
 		}
 		if attempts.Load() != 1 {
 			t.Errorf("%d attempts, want 1", attempts.Load())
