--- a/internal/edge/frontend/body.go
+++ b/internal/edge/frontend/body.go
@@ -94,7 +94,7 @@
 	if stream.isFullyReceived() && len(b.bytes) <= maxBufferedBody {
 		return nil
 	}
-	if maxBytes <= maxBufferedBody { // the body exceeds maxBytes
+	if maxBytes <= maxBufferedBody { // the body may not be streamed and exceeds maxBytes
 		return errTooLarge
 	}
 	stream.timeLeft += time.Duration(len(b.bytes)) * time.Second / minBodyBytesPerSecond
--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -37,7 +37,7 @@
 type countingConn struct {
 	*net.TCPConn
 	readGate atomic.Pointer[chan struct{}] // a read that got bytes returns once this channel is closed; nil: no delay
-	read     atomic.Int64                  // bytes
+	read     atomic.Int64                  // number of bytes read
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
@@ -403,22 +403,22 @@
 func TestRequestIsNotForwardedAfterDisconnect(t *testing.T) {
 	t.Parallel()
 	for name, point := range waitPoints {
-		for how, leave := range waysToDisconnect {
-			t.Run(name+"/"+how, func(t *testing.T) {
+		for way, leave := range waysToDisconnect {
+			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
-				conns, bodies := 8, int64(1<<20)
+				maxConns, bodyMemory := 8, int64(1<<20)
 				if point.conns > 0 {
-					conns = point.conns
+					maxConns = point.conns
 				}
 				if point.bodies > 0 {
-					bodies = point.bodies
+					bodyMemory = point.bodies
 				}
-				server := startTestServer(t, conns, bodies, false, point.serve)
+				server := startTestServer(t, maxConns, bodyMemory, false, point.serve)
 				c, release := point.wait(t, server)
 				leave(c)
 				lbtest.Until(t, "disconnect on the sidecar's socket", c.serverConn.isPeerClosed)
 				release()
-				if strings.HasPrefix(how, "ends") { // the client still reads: it gets one response, which must not promise a safe retry
+				if strings.HasPrefix(way, "ends") { // the client still reads: it gets one response, which must not promise a safe retry
 					if status, _ := c.Response(); status < 400 || status == 429 || status == 503 {
 						t.Errorf("status %d, want an error other than 429 and 503", status)
 					}
@@ -447,12 +447,12 @@
 }
 
 // Under TLS only reading can distinguish a disconnect from a further request. The client sends close_notify with a FIN, or close_notify
-// alone, with or without requests before it. Its first request must be cancelled in each case.
+// alone, with or without requests before it. Its first request must be cancelled and must not reach an endpoint.
 func TestDisconnectUnderTLSCancelsRequest(t *testing.T) {
 	t.Parallel()
 	behind := lbtest.Get("behind")
-	for how, text := range map[string]string{"closes": "", "closes behind a request": behind, "closes behind many": strings.Repeat(behind, 100)} {
-		t.Run(how, func(t *testing.T) {
+	for way, text := range map[string]string{"closes": "", "closes behind a request": behind, "closes behind many": strings.Repeat(behind, 100)} {
+		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			server := startTestServer(t, 8, 1<<20, true, nil)
 			c, release := delayDial(t, server, lbtest.Get("left"), waitForGate)
@@ -463,9 +463,9 @@
 			expectReleased(t, server, "left", "behind")
 		})
 	}
-	for how, text := range map[string]string{"sends close_notify alone": "", "sends close_notify behind a request": behind,
+	for way, text := range map[string]string{"sends close_notify alone": "", "sends close_notify behind a request": behind,
 		"sends close_notify behind as much as is read ahead": strings.Repeat(behind, 15<<10/len(behind))} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			server := startTestServer(t, 8, 1<<20, true, nil)
 			cancelled := make(chan struct{}, 64)
@@ -514,9 +514,9 @@
 func TestDisconnectUnderTLSBeforeForwardingIsDetected(t *testing.T) {
 	t.Parallel()
 	behind := lbtest.Get("behind")
-	for how, text := range map[string]string{"sends close_notify alone": "", "sends close_notify behind a request": behind,
+	for way, text := range map[string]string{"sends close_notify alone": "", "sends close_notify behind a request": behind,
 		"sends close_notify behind as much as is read ahead": strings.Repeat(behind, 15<<10/len(behind))} {
-		t.Run("the next request, read late/"+how, func(t *testing.T) {
+		t.Run("the next request, read late/"+way, func(t *testing.T) {
 			t.Parallel()
 			server := startTestServer(t, 8, 1<<20, true, nil)
 			c := server.connectAndSend(t, lbtest.Get("first"))
@@ -533,7 +533,7 @@
 			}
 			expectReleased(t, server, "left", "behind")
 		})
-		t.Run("memory for its body/"+how, func(t *testing.T) {
+		t.Run("memory for its body/"+way, func(t *testing.T) {
 			t.Parallel()
 			server := startTestServer(t, 8, 64<<10, true, nil)
 			body := strings.Repeat("x", 40<<10)
@@ -586,11 +586,11 @@
 // only after the disconnect has reached the sidecar.
 func TestNoRetryAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	for how, leave := range waysToDisconnect {
-		if !strings.Contains(how, "behind") {
+	for way, leave := range waysToDisconnect {
+		if !strings.Contains(way, "behind") {
 			continue // without unread bytes the watch may cancel the first attempt, within 20 ms, before it fails
 		}
-		t.Run(how, func(t *testing.T) {
+		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			arrived := make(chan *lbtest.Arrival, 64)
 			server := startTestServer(t, 8, 1<<20, false, func(a *lbtest.Arrival) { arrived <- a })
--- a/internal/edge/frontend/hang_test.go
+++ b/internal/edge/frontend/hang_test.go
@@ -7,11 +7,11 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// A request must be retried received another endpoint if its own endpoint responds to another request and then hangs. The later response must not
+// A request must be retried at another endpoint if its own endpoint responds to another request and then hangs. The later response must not
 // hide the hang until the request's deadline (docs/incidents/stopped-after-an-answer.md).
 func TestRequestIsRetriedWhenEndpointHangsAfterResponse(t *testing.T) {
 	t.Parallel()
-	const requests = 4 // for two endpoints, so that one of them gets received least two
+	const requests = 4 // for two endpoints, so that one of them gets at least two
 	arrivals := make(chan *lbtest.Arrival, 2*requests)
 	server := startTestServer(t, 64, 1<<20, false, func(a *lbtest.Arrival) { arrivals <- a })
 	clients := map[string]*testClient{}
--- a/internal/edge/frontend/protocol_test.go
+++ b/internal/edge/frontend/protocol_test.go
@@ -92,7 +92,7 @@
 	leaving.Send(lbtest.Get("goes"))
 	cancelled := <-e.Arrivals
 	staying.Send(lbtest.Get("stays"))
-	held := <-e.Arrivals
+	delayed := <-e.Arrivals
 	time.Sleep(100 * time.Millisecond) // the watch has started by then; if it has not, the test checks less but does not fail
 	staying.Send(lbtest.Get("next"))   // arrives while the watch is running
 	leaving.Close()
@@ -100,7 +100,7 @@
 	if n, err := cancelled.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Error("the attempt of a disconnected client was not cancelled")
 	}
-	held.OK()
+	delayed.OK()
 	if status, body := staying.Response(); status != 200 || body != "answer to stays" {
 		t.Errorf("status %d, body %q", status, body)
 	}
--- a/internal/edge/frontend/receivetime_test.go
+++ b/internal/edge/frontend/receivetime_test.go
@@ -66,12 +66,12 @@
 		timeout time.Duration
 	}
 	arrivals := make(chan arrival, 16)
-	held := make(chan *lbtest.Arrival, 1)
+	delayedArrival := make(chan *lbtest.Arrival, 1)
 	server := startTestServer(t, u.conns, u.bodies, u.useTLS, func(a *lbtest.Arrival) {
 		at := time.Now()
 		id := a.Request.Header.Get("X-Request-ID")
 		if id == "held" {
-			held <- a
+			delayedArrival <- a
 			return
 		}
 		ms, err := strconv.Atoi(a.Request.Header.Get("X-Timeout-Ms"))
@@ -83,7 +83,7 @@
 	})
 	first := u.dial(t, server)
 	first.Send(u.message("held", ampleTimeout))
-	delayed := <-held
+	delayed := <-delayedArrival
 
 	timeouts := map[string]time.Duration{"ample": ampleTimeout, "short": shortTimeout, "ample too": ampleTimeout}
 	sentAt := map[string]time.Time{}
--- a/internal/edge/frontend/rejection.go
+++ b/internal/edge/frontend/rejection.go
@@ -91,7 +91,7 @@
 	} else {
 		c.rejectWith(rejectionReply(v))
 	}
-	if a.spareUsed.Load() || !a.lingering.add(c) { // without a spare descriptor no connection is kept open
+	if a.spareUsed.Load() || !a.lingering.add(c) { // while the spare descriptor is in use, rejected connections are not kept open
 		c.Close()
 		return
 	}
--- a/internal/edge/frontend/server.go
+++ b/internal/edge/frontend/server.go
@@ -28,9 +28,9 @@
 
 // Router selects the exchange that serves a request.
 type Router interface {
-	// Route returns the exchange that serves the request, or a reply that answers it at once. These fields of the request are set: Method,
-	// RequestURI, Host, Header, ContentLength, TransferEncoding and RemoteAddr. The server reuses the request after Route
-	// has returned, so that only the header's values may be retained.
+	// Route returns the exchange that serves the request, or a reply to write at once. These fields of the request are set: Method,
+	// RequestURI, Host, Header, ContentLength, TransferEncoding and RemoteAddr. The server reuses the request after Route has returned,
+	// so that only the header's values may be retained.
 	Route(r *http.Request) (Exchange, *Reply)
 }
 
--- a/internal/edge/frontend/server_test.go
+++ b/internal/edge/frontend/server_test.go
@@ -220,12 +220,12 @@
 
 	last := lbtest.Dial(t, addr)
 	last.Send(lbtest.Get("last"))
-	held := <-e.Arrivals
+	delayed := <-e.Arrivals
 	go func() { s.Shutdown(time.Now(), time.Now().Add(lbtest.Wait)); close(ended) }()
 	if rest := kept.AwaitClose(); rest != "" {
 		t.Errorf("the idle connection got %q before its close", rest)
 	}
-	held.OK()
+	delayed.OK()
 	if status, body := last.Response(); status != 200 || body != "answer to last" {
 		t.Errorf("request in flight at the close: status %d, body %q", status, body)
 	}
@@ -240,7 +240,7 @@
 	s, addr := startServer(t, e.Addr, 1)
 	first := lbtest.Dial(t, addr)
 	first.Send(lbtest.Get("first"))
-	held := <-e.Arrivals
+	delayed := <-e.Arrivals
 	var queued []*lbtest.Client
 	for _, id := range []string{"second", "third", "fourth"} { // one waits for a slot, the others in the accept queue
 		c := lbtest.Dial(t, addr)
@@ -250,7 +250,7 @@
 	ended := make(chan struct{})
 	go func() { s.Shutdown(time.Now(), time.Now().Add(lbtest.Wait)); close(ended) }()
 	time.Sleep(100 * time.Millisecond) // an early close would have happened by then; a shorter wait checks less but does not fail
-	held.OK()
+	delayed.OK()
 	if status, _ := first.Response(); status != 200 {
 		t.Errorf("first request: status %d, want 200", status)
 	}
