--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -206,8 +206,8 @@
 // waitPoint is a point at which a request waits before it is forwarded. wait sends a client's request and returns once it waits there. The
 // request continues when release is called.
 type waitPoint struct {
-	conns          int                   // capacity of the listener in connections; 0: 8
-	bodies         int64                 // memory for request bodies in bytes; 0: 1 MiB
+	maxConns       int                   // capacity of the listener in connections; 0: 8
+	bodyMemory     int64                 // memory for request bodies in bytes; 0: 1 MiB
 	attemptsBefore int                   // attempts that reached an endpoint before the client disconnects
 	serve          func(*lbtest.Arrival) // responds for the endpoints; nil: they respond with 200
 	wait           func(t *testing.T, server *testServer) (c *testClient, release func())
@@ -316,7 +316,7 @@
 		go server.Shutdown(time.Now(), deadline)
 		return c, release
 	}},
-	"memory for its body": {bodies: 64 << 10, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
+	"memory for its body": {bodyMemory: 64 << 10, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		body := strings.Repeat("x", 40<<10)
 		first, release := delayDial(t, server, lbtest.Post("first", body), waitForGate) // reserves most of the body memory
@@ -324,7 +324,7 @@
 		return c, func() {
 			release()
 			if status, _ := first.Response(); status != 200 {
-				t.Error("status of the request that held the resource: ", status)
+				t.Error("earlier request: want status 200, got ", status)
 			}
 			first.Close()
 		}
@@ -384,14 +384,14 @@
 		t.Helper()
 		return delaySecondDial(t, server, lbtest.Get("left"), dialSucceeds)
 	}},
-	"a slot of the listener": {conns: 1, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
+	"a slot of the listener": {maxConns: 1, wait: func(t *testing.T, server *testServer) (*testClient, func()) {
 		t.Helper()
 		first, release := delayDial(t, server, lbtest.Get("first"), waitForGate)
 		c := server.connectAndSend(t, lbtest.Get("left"))
 		return c, func() {
 			release()
 			if status, _ := first.Response(); status != 200 {
-				t.Error("status of the request that held the resource: ", status)
+				t.Error("earlier request: want status 200, got ", status)
 			}
 			first.Close()
 		}
@@ -407,11 +407,11 @@
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				maxConns, bodyMemory := 8, int64(1<<20)
-				if point.conns > 0 {
-					maxConns = point.conns
+				if point.maxConns > 0 {
+					maxConns = point.maxConns
 				}
-				if point.bodies > 0 {
-					bodyMemory = point.bodies
+				if point.bodyMemory > 0 {
+					bodyMemory = point.bodyMemory
 				}
 				server := startTestServer(t, maxConns, bodyMemory, false, point.serve)
 				c, release := point.wait(t, server)
@@ -544,7 +544,7 @@
 			c.awaitDelivery(t)
 			release()
 			if status, _ := first.Response(); status != 200 {
-				t.Error("status of the request that held the resource: ", status)
+				t.Error("earlier request: want status 200, got ", status)
 			}
 			first.Close()
 			if status, _ := c.Response(); status != 502 {
--- a/internal/edge/frontend/receivetime_test.go
+++ b/internal/edge/frontend/receivetime_test.go
@@ -20,11 +20,11 @@
 
 // unreadRequest is a case in which requests wait unread while an endpoint delays its response to an earlier request.
 type unreadRequest struct {
-	conns    int   // capacity of the listener in connections
-	bodies   int64 // memory for request bodies in bytes
-	useTLS   bool
-	body     int  // size in bytes; 0: a GET without a body
-	ownConns bool // each request uses a connection of its own; otherwise that of the earlier request
+	maxConns   int   // capacity of the listener in connections
+	bodyMemory int64 // memory for request bodies in bytes
+	useTLS     bool
+	body       int  // size in bytes; 0: a GET without a body
+	ownConns   bool // each request uses a connection of its own; otherwise that of the earlier request
 }
 
 // message returns the text of a request with a timeout.
@@ -41,13 +41,13 @@
 func TestTimeoutCountsFromReceipt(t *testing.T) {
 	t.Parallel()
 	for name, unread := range map[string]unreadRequest{
-		"in the accept queue":                  {conns: 1, bodies: 1 << 20, ownConns: true},
-		"with a body in the accept queue":      {conns: 1, bodies: 1 << 20, ownConns: true, body: 2000},
-		"while there is no memory for a body":  {conns: 64, bodies: 10 << 10, ownConns: true, body: 8 << 10},
-		"behind another request":               {conns: 64, bodies: 1 << 20},
-		"behind another request, under TLS":    {conns: 64, bodies: 1 << 20, useTLS: true},
-		"with a body, behind another request":  {conns: 64, bodies: 1 << 20, body: 2000},
-		"with a large body behind another one": {conns: 64, bodies: 1 << 20, body: 20 << 10},
+		"in the accept queue":                  {maxConns: 1, bodyMemory: 1 << 20, ownConns: true},
+		"with a body in the accept queue":      {maxConns: 1, bodyMemory: 1 << 20, ownConns: true, body: 2000},
+		"while there is no memory for a body":  {maxConns: 64, bodyMemory: 10 << 10, ownConns: true, body: 8 << 10},
+		"behind another request":               {maxConns: 64, bodyMemory: 1 << 20},
+		"behind another request, under TLS":    {maxConns: 64, bodyMemory: 1 << 20, useTLS: true},
+		"with a body, behind another request":  {maxConns: 64, bodyMemory: 1 << 20, body: 2000},
+		"with a large body behind another one": {maxConns: 64, bodyMemory: 1 << 20, body: 20 << 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -67,7 +67,7 @@
 	}
 	arrivals := make(chan arrival, 16)
 	delayedArrival := make(chan *lbtest.Arrival, 1)
-	server := startTestServer(t, u.conns, u.bodies, u.useTLS, func(a *lbtest.Arrival) {
+	server := startTestServer(t, u.maxConns, u.bodyMemory, u.useTLS, func(a *lbtest.Arrival) {
 		at := time.Now()
 		id := a.Request.Header.Get("X-Request-ID")
 		if id == "held" {
