--- a/internal/sites/accounting/counters.go
+++ b/internal/sites/accounting/counters.go
@@ -26,10 +26,10 @@
 const OtherClass = "(other)"
 
 // counters counts by kind and outcome. It holds at most maxKinds kinds and one more, of OtherClass.
-type counters map[Kind]*[outcomes]uint64
+type counters map[Kind]*[outcomeCount]uint64
 
-// countedAs returns the kind under which a request of a kind is counted, and creates its counters.
-func (c counters) countedAs(k Kind) Kind {
+// ensureCounters returns the kind under which a request of a kind is counted, and creates its counters.
+func (c counters) ensureCounters(k Kind) Kind {
 	counted := Kind{Class: OtherClass}
 	for _, candidate := range []Kind{k, {Class: k.Class, Reason: k.Reason}} {
 		if c[candidate] != nil || len(c) < maxKinds {
@@ -38,7 +38,7 @@
 		}
 	}
 	if c[counted] == nil {
-		c[counted] = new([outcomes]uint64)
+		c[counted] = new([outcomeCount]uint64)
 	}
 	return counted
 }
--- a/internal/sites/accounting/outcome.go
+++ b/internal/sites/accounting/outcome.go
@@ -11,12 +11,12 @@
 	NeverRan                    // failed, with proof that nothing ran
 	MayHaveRun                  // failed, and may have run
 	NeverArrived                // was sent, has not arrived and will not be accepted any more
-	outcomes     = iota
+	outcomeCount = iota
 )
 
 // String returns the name that operators read.
 func (o Outcome) String() string {
-	if int(o) >= outcomes {
+	if int(o) >= outcomeCount {
 		return "unknown"
 	}
 	return [...]string{"open", "served", "refused", "never ran", "may have run", "never came"}[o]
@@ -32,20 +32,20 @@
 
 // The reasons.
 const (
-	Shed     Reason = iota // the local site rejected it for load
-	Failed                 // no endpoint of the local site could be reached
-	KeyOwned               // its idempotency key may have run in the other site
-	Transit                // it came from a third site
-	reasons  = iota
+	Shed        Reason = iota // the local site rejected it for load
+	Failed                    // no endpoint of the local site could be reached
+	KeyOwned                  // its idempotency key may have run in the other site
+	Transit                   // it came from a third site
+	reasonCount = iota
 )
 
 // String returns the name that operators read.
 func (r Reason) String() string {
-	if int(r) >= reasons {
+	if int(r) >= reasonCount {
 		return "unknown"
 	}
 	return [...]string{"shed", "failed", "held", "passing"}[r]
 }
 
 // IsValid reports whether this version knows the reason.
-func (r Reason) IsValid() bool { return int(r) < reasons }
+func (r Reason) IsValid() bool { return int(r) < reasonCount }
--- a/internal/sites/accounting/receiver.go
+++ b/internal/sites/accounting/receiver.go
@@ -48,7 +48,7 @@
 	case len(r.arrivals) >= r.maxRemembered:
 		return ErrFull
 	}
-	k = r.counters.countedAs(k)
+	k = r.counters.ensureCounters(k)
 	r.arrivals[number] = &arrival{kind: k}
 	r.counters[k][Pending]++
 	r.arrivalCount++
--- a/internal/sites/accounting/sender.go
+++ b/internal/sites/accounting/sender.go
@@ -22,7 +22,7 @@
 func (s *Sender) Send(k Kind) uint64 {
 	number := s.nextNumber
 	s.nextNumber++
-	k = s.counters.countedAs(k)
+	k = s.counters.ensureCounters(k)
 	s.pending[number] = k
 	s.counters[k][Pending]++
 	return number
@@ -32,7 +32,7 @@
 // that are not pending and outcomes that are no end.
 func (s *Sender) Resolve(number uint64, outcome Outcome) {
 	kind, isPending := s.pending[number]
-	if !isPending || outcome == Pending || int(outcome) >= outcomes {
+	if !isPending || outcome == Pending || int(outcome) >= outcomeCount {
 		return
 	}
 	delete(s.pending, number)
--- a/internal/sites/forwarding/delay.go
+++ b/internal/sites/forwarding/delay.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// delayWindow is the time over which the least difference of the clocks is kept.
+// delayWindow is the length of the window over which the minimum clock difference is taken.
 const delayWindow = 30 * time.Second
 
-// DelayEstimator measures how much longer than usual a message was in transit, without synchronised clocks: each end sends
-// a reading of its own monotonic clock. The least difference of the two readings seen lately is that of a message that
-// met no queue; what another one's difference is above it, it has spent waiting.
+// DelayEstimator estimates the queueing delay of messages without synchronised clocks. Each end uses its own monotonic
+// clock, and the sender sends a reading with each message. A message that met no queue has the minimum difference between
+// the receiver's and the sender's reading. The queueing delay of another message is its difference minus the recent minimum.
 //
-// The least is taken over two windows, so that it follows clocks that drift (100 ppm are 3 ms in a window) and a path that
-// has become longer. It is not safe for concurrent use.
+// The minimum is taken over two windows, the current and the previous one. So it follows clocks that drift (100 ppm are
+// 3 ms in a window) and a path that has become longer.
+//
+// A DelayEstimator is not safe for concurrent use.
 type DelayEstimator struct {
-	windowMin, previousMin time.Duration // least differences of this window and the one before
-	windowStart            time.Duration // by the receiver's clock
+	windowMin, previousMin time.Duration // minimum differences of the current and the previous window
+	windowStart            time.Duration // on the receiver's clock
 	started, hasPrevious   bool
 }
 
-// QueueingDelay takes the readings of the sender's clock as it sent a message and of the receiver's as it arrived. It
-// returns how much longer than the quickest one lately the message was in transit.
+// QueueingDelay returns how much longer a message was in transit than the fastest recent one. The message was sent at sentAt
+// on the sender's clock and received at receivedAt on the receiver's clock.
 func (e *DelayEstimator) QueueingDelay(sentAt, receivedAt time.Duration) time.Duration {
 	difference := receivedAt - sentAt
 	switch {
@@ -37,8 +39,8 @@
 	return difference - usual
 }
 
-// TimeLeftOnArrival returns what is left of a request's time where it arrives: what the sender said, less the usual round
-// trip and the queueing delay. It never grows.
+// TimeLeftOnArrival returns the time that a request has left when it arrives: the time left that the sender reported, minus
+// the usual round trip and the queueing delay. It is never more than the sender reported.
 func TimeLeftOnArrival(timeLeft, roundTrip, queueingDelay time.Duration) time.Duration {
 	return timeLeft - max(roundTrip, 0) - max(queueingDelay, 0)
 }
--- a/internal/sites/forwarding/forwarding.go
+++ b/internal/sites/forwarding/forwarding.go
@@ -1,19 +1,20 @@
 // Package forwarding decides which requests are forwarded to another site, and to which one. It has no I/O, clock or
 // goroutines; the caller passes the time and owns the state.
 //
-// A request is forwarded only after its own site could not serve it, as package lbpolicy decides there: the site's own
-// endpoints come first. The other site's gateway treats a forwarded request as one of its own clients'. This package
-// decides how much is sent there at all, so that a site that takes over is not overloaded by everything that another one
-// has lost in the same moment:
+// A site's own endpoints come first: a request is forwarded only after the site that received it could not serve it, as
+// package lbpolicy decides there. The other site's gateway treats a forwarded request like a request of its own clients.
+// This package limits how many requests are forwarded, so that a site that takes over is not overloaded by all the requests
+// that a failed site lost at the same moment:
 //
-//   - Each site has a concurrency limit for each priority weight. It starts small, grows with what is served while it is
-//     in use and shrinks when the site rejects or fails. It grows by one for each request served, which doubles it each
-//     round trip, and above the last limit that was too high by one each round trip (RFC 5681, slow start and congestion
-//     avoidance).
-//   - Low weights stop first. What is served of one weight raises the limits of that weight and all higher ones; what is
-//     rejected lowers those of that weight and all lower ones, as the other site rejects low weights first. So the limits
-//     are in the order of the weights.
-//   - A weight that is rejected there backs off for a moment, with all lower ones, so that rejections cost little.
-//   - Of several sites the one with the lowest cost is chosen: the part of its limit that is in use, its round trip and
-//     its own state. The site that was chosen last keeps its place until another is better by a margin.
+//   - Each site has a concurrency limit for each priority weight. The limit starts small, grows with the requests that are
+//     served while it is in use, and shrinks when the site rejects a request or fails. It grows by one for each request
+//     served, which doubles it each round trip (RFC 5681, slow start). After a decrease it grows by one each round trip
+//     once it is above the decreased limit (RFC 5681, congestion avoidance).
+//   - Requests of low weights are held back first. A request that is served raises the limits of its weight and of all
+//     higher ones. A request that is rejected lowers the limits of its weight and of all lower ones, because the other site
+//     rejects low weights first. So a higher weight never has a lower limit.
+//   - After a rejection the weight of the request and all lower ones back off for a short time, so that rejections cost
+//     little.
+//   - Of several sites the one with the lowest cost is chosen. The cost consists of the used part of the site's limit, its
+//     round trip and its own state. The site chosen last is chosen again until another one is cheaper by a margin.
 package forwarding
--- a/internal/sites/forwarding/gateways.go
+++ b/internal/sites/forwarding/gateways.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Gateway is one of the gateways of a site, as this end of the connection sees it.
+// Gateway is the status of one gateway of another site, as seen from this end of the connection.
 type Gateway struct {
 	Connected bool
 	State     State
-	InFlight  int // requests forwarded to it and not answered
+	InFlight  int // requests forwarded to the gateway and not answered yet
 	RoundTrip time.Duration
 }
 
-// knownState returns the gateway's state, Unavailable for one that only later versions know.
+// knownState returns the gateway's state. A state that this version does not know counts as Unavailable.
 func (g Gateway) knownState() State {
 	if g.State > Available {
 		return Unavailable
@@ -22,8 +22,8 @@
 	return g.State
 }
 
-// SiteState returns the state of a site: the best one of its connected gateways. One that drains or is full says nothing
-// of the others.
+// SiteState returns the state of a site: the best state of its connected gateways. A gateway that drains or sheds load does
+// not imply that the others do.
 func SiteState(gateways []Gateway) State {
 	best := Unavailable
 	for _, g := range gateways {
@@ -34,10 +34,11 @@
 	return best
 }
 
-// OrderGateways returns the indexes of the connected gateways in the order in which a request tries them: by state, then
-// by requests in flight, then by round trip. The next one is tried only if the one before it has accepted nothing.
+// OrderGateways returns the indexes of the connected gateways in the order in which a request tries them: by state (best
+// first), then by requests in flight, then by round trip (fewest and shortest first). The next gateway is tried only if the
+// previous one did not accept the request.
 //
-// Gateways of one site are expected to have about the same capacity: each gets the same number of requests.
+// The gateways of one site are expected to have about the same capacity, so that each gets the same number of requests.
 func OrderGateways(gateways []Gateway) []int {
 	var order []int
 	for i, g := range gateways {
--- a/internal/sites/forwarding/gateways_test.go
+++ b/internal/sites/forwarding/gateways_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestGateways checks that a site is in the best state of its connected gateways, and that a request tries each of those
-// once, none that is not connected, and no worse one before a better.
-func TestGateways(t *testing.T) {
+// TestConnectedGatewaysAreTriedBestFirst checks that a site has the best state of its connected gateways. A request must try
+// each connected gateway once, no disconnected one, and no worse gateway before a better one.
+func TestConnectedGatewaysAreTriedBestFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := make([]Gateway, rapid.IntRange(0, 5).Draw(t, "gateways"))
 		best, connected := Unavailable, 0
@@ -26,20 +26,20 @@
 			}
 		}
 		if SiteState(gateways) != best {
-			t.Fatalf("%v, not %v", SiteState(gateways), best)
+			t.Fatalf("site state is %v, want %v", SiteState(gateways), best)
 		}
 		order := OrderGateways(gateways)
 		if sorted := slices.Compact(slices.Sorted(slices.Values(order))); len(order) != connected || len(sorted) != connected {
-			t.Fatalf("%v of %+v", order, gateways)
+			t.Fatalf("order %v does not hold each connected gateway once, of %+v", order, gateways)
 		}
 		for n, i := range order {
 			if !gateways[i].Connected {
-				t.Fatalf("%d is not connected", i)
+				t.Fatalf("gateway %d is in the order and not connected", i)
 			}
 			if n > 0 {
 				a, b := gateways[order[n-1]], gateways[i]
 				if a.knownState() < b.knownState() || a.knownState() == b.knownState() && (a.InFlight > b.InFlight || a.InFlight == b.InFlight && a.RoundTrip > b.RoundTrip) {
-					t.Fatalf("%+v before %+v", a, b)
+					t.Fatalf("gateway %+v is tried before the better %+v", a, b)
 				}
 			}
 		}
--- a/internal/sites/forwarding/route.go
+++ b/internal/sites/forwarding/route.go
@@ -10,10 +10,11 @@
 	"silvertrail/lbpolicy"
 )
 
-// siteSeparator stands between the site and the cluster in the name of a place. No site's name contains it.
+// siteSeparator separates the site from the cluster in a qualified cluster name. No site name contains it.
 const siteSeparator = "/"
 
-// QualifyCluster names a cluster of a site, so that clusters of the same name in two sites are two places.
+// QualifyCluster returns the name of a cluster qualified by its site, so that clusters of the same name in two sites have
+// different names.
 func QualifyCluster(site, cluster string) string {
 	if site == "" {
 		return cluster
@@ -22,20 +23,20 @@
 }
 
 // SplitCluster returns the site and the cluster of a qualified name. The site is empty if the name is not qualified.
-func SplitCluster(place string) (site, cluster string) {
-	site, cluster, qualified := strings.Cut(place, siteSeparator)
+func SplitCluster(name string) (site, cluster string) {
+	site, cluster, qualified := strings.Cut(name, siteSeparator)
 	if !qualified {
-		return "", place
+		return "", name
 	}
 	return site, cluster
 }
 
-// NoSite stands for the owner of a key that may have run in several sites, or in one that is not known: no site may get
-// its repeats.
-const NoSite = "?"
+// AmbiguousOwner stands for the owner site of an idempotency key whose request may have run in several sites, or in an
+// unknown one. A repeated request with that key is forwarded to no site.
+const AmbiguousOwner = "?"
 
-// OwnerSite returns the site that owns a key, by the states that several sources know. It is empty if none does, and
-// NoSite if they name several sites.
+// OwnerSite returns the site that owns an idempotency key, according to the key states of several sources. It is empty if no
+// source knows the key, and AmbiguousOwner if the sources name several sites or an unknown one.
 func OwnerSite(states ...idempotency.KeyState) string {
 	owner := ""
 	for _, state := range states {
@@ -44,52 +45,53 @@
 		}
 		site, _ := SplitCluster(state.Place.Cluster)
 		if site == "" {
-			site = NoSite
+			site = AmbiguousOwner
 		}
 		switch {
 		case state.SeveralGroups && state.Place.Cluster == "":
-			return NoSite
+			return AmbiguousOwner
 		case owner == "":
 			owner = site
 		case owner != site:
-			return NoSite
+			return AmbiguousOwner
 		}
 	}
 	return owner
 }
 
-// maxForwardsToOwner bounds how often a request with a key is forwarded to the site that owns it: a second time after a
-// response that was lost.
+// maxForwardsToOwner is how often a request with an idempotency key may be forwarded to the site that owns the key: once,
+// and once more after a lost response.
 const maxForwardsToOwner = 2
 
-// Route is the route of one request over sites, from the one that received it. It is not safe for concurrent use.
+// Route tracks the sites that one request is forwarded to from the local site. It is not safe for concurrent use.
 type Route struct {
 	LocalSite    string
 	Effect       lbpolicy.Effect
-	AllowedSites []string // that its route names
-	VisitedSites []string // before it came here
-	MaxAttempts  int      // over all sites; 0: no bound of its own
+	AllowedSites []string // sites that the request's routing rule names
+	VisitedSites []string // sites that the request visited before the local one
+	MaxAttempts  int      // over all sites; 0: no bound per request
 
-	forwards map[string]int // by site
-	attempts int
+	forwards map[string]int // number of forwards by site
+	attempts int            // so far, over all sites
 }
 
-// Progress is how far a request has come when its next site is asked for.
+// Progress is the state of a request when Next is called.
 type Progress struct {
 	Now, Deadline time.Time
-	MayHaveRun    bool   // an attempt may have run, or may yet, in any site
+	MayHaveRun    bool   // an attempt may have run in any site, or may still run
 	NewAttempts   int    // since the last call of Next
-	OwnerSite     string // of its key; empty: none
-	Rejected      bool   // the last site rejected it for load
-	Transit       bool   // it came from another site
+	OwnerSite     string // site that owns the request's idempotency key; empty: none
+	Rejected      bool   // the last site rejected the request for load
+	Transit       bool   // the request came from another site
 }
 
-// Next returns the request for Pick, and why it is forwarded. If ok is false it may not be forwarded:
+// Next returns the request to pass to Pick, and the reason why it is forwarded. If ok is false, the request must not be
+// forwarded. These rules apply:
 //
-//   - A request never visits a site twice, unless that site owns its key and the response was lost: the endpoints there
-//     recognise the repeat.
-//   - A request that may have run is forwarded only if it is idempotent, or to the site that owns its key.
-//   - Without time or attempts left it is not forwarded.
+//   - A request never visits a site twice, unless that site owns its idempotency key and the response was lost. The
+//     endpoints there recognise the repeated request.
+//   - A request that may have run is forwarded only if it is idempotent, or to the site that owns its idempotency key.
+//   - A request without time or attempts left is not forwarded.
 func (r *Route) Next(p Progress) (next Request, reason accounting.Reason, ok bool) {
 	r.attempts += p.NewAttempts
 	next = Request{
@@ -116,10 +118,10 @@
 	return next, p.reason(), true
 }
 
-// mayForwardToOwner reports whether the request may be forwarded to the site that owns its key.
+// mayForwardToOwner reports whether the request may be forwarded to the site that owns its idempotency key.
 func (r *Route) mayForwardToOwner(owner string, excluded []string) bool {
 	switch {
-	case owner == r.LocalSite, owner == NoSite, slices.Contains(excluded, owner):
+	case owner == r.LocalSite, owner == AmbiguousOwner, slices.Contains(excluded, owner):
 		return false
 	case r.forwards[owner] >= maxForwardsToOwner:
 		return false
@@ -127,7 +129,7 @@
 	return slices.Contains(r.AllowedSites, owner)
 }
 
-// reason returns why a request without an owner site is forwarded.
+// reason returns the reason why a request without an owner site is forwarded.
 func (p Progress) reason() accounting.Reason {
 	switch {
 	case p.Transit:
@@ -146,7 +148,7 @@
 	r.forwards[site]++
 }
 
-// AttemptsLeft returns the attempts that are left to the request; 0: no bound of its own.
+// AttemptsLeft returns the number of attempts that the request has left, at least 1. It is 0 if the request has no bound.
 func (r *Route) AttemptsLeft() int {
 	if r.MaxAttempts == 0 {
 		return 0
--- a/internal/sites/forwarding/saturation.go
+++ b/internal/sites/forwarding/saturation.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// sheddingThreshold is the part of its requests above which a site that rejects them says that it sheds load.
+// sheddingThreshold is the fraction of rejected requests above which a site reports that it sheds load.
 const sheddingThreshold = 0.05
 
-// Saturation measures the part of a site's requests that it rejects for load, over this second and the one before. It is
-// not safe for concurrent use.
+// Saturation measures the fraction of a site's requests that the site rejects for load, over the current and the previous
+// second. It is not safe for concurrent use.
 type Saturation struct {
 	secondStart        time.Time
-	requests, rejected [2]int // this second, the one before
+	requests, rejected [2]int // in the current second, in the previous one
 }
 
-// rotate begins a new second if the current one is over.
+// rotate starts a new second if the current one is over.
 func (s *Saturation) rotate(now time.Time) {
 	elapsed := now.Sub(s.secondStart)
 	if elapsed < time.Second {
@@ -26,7 +26,7 @@
 	s.requests[0], s.rejected[0] = 0, 0
 }
 
-// Record counts a request that the site's own policy has ended.
+// Record counts a request that the site's own balancing policy has finished, and whether it was rejected for load.
 func (s *Saturation) Record(now time.Time, rejected bool) {
 	s.rotate(now)
 	s.requests[0]++
@@ -35,7 +35,7 @@
 	}
 }
 
-// IsShedding reports whether the site rejects more than sheddingThreshold of its requests.
+// IsShedding reports whether the fraction of rejected requests is above sheddingThreshold.
 func (s *Saturation) IsShedding(now time.Time) bool {
 	s.rotate(now)
 	rejected := s.rejected[0] + s.rejected[1]
--- a/internal/sites/forwarding/state.go
+++ b/internal/sites/forwarding/state.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// State is what a site's gateway says of itself. Its number is part of the peering protocol.
+// State is the state that a site's gateway reports. Its numeric value is part of the peering protocol.
 type State uint8
 
-// The states. An unavailable site gets nothing; a draining one gets only requests whose idempotency key it owns.
+// The states, from worst to best. An unavailable site gets no requests. A draining site gets only requests whose
+// idempotency key it owns.
 const (
 	Unavailable State = iota
 	Draining
-	Shedding // it rejects some requests of its own clients
+	Shedding // rejects some requests of its own clients
 	Available
 )
 
-// String returns the name that operators read.
+// String returns the name that is shown to operators.
 func (s State) String() string {
 	if s > Available {
 		return "unknown"
--- a/internal/sites/forwarding/table.go
+++ b/internal/sites/forwarding/table.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// roundTripSmoothing is the part of a new round trip in the moving average: one in this many.
+// roundTripSmoothing is the divisor of the moving average: a new round trip has a weight of 1/roundTripSmoothing.
 const roundTripSmoothing = 8
 
-// AverageRoundTrip adds a round trip to a moving average, which is zero before the first one.
+// AverageRoundTrip returns the moving average after a new round trip. An average of zero means that there was none before.
 func AverageRoundTrip(average, roundTrip time.Duration) time.Duration {
 	if average == 0 {
 		return roundTrip
@@ -17,14 +17,14 @@
 	return average + (roundTrip-average)/roundTripSmoothing
 }
 
-// Table holds what is known of all other sites. It is not safe for concurrent use.
+// Table holds the states and concurrency limits of all other sites. It is not safe for concurrent use.
 type Table struct {
 	weights    []float64 // priority weights of all classes, ascending, each once
 	sites      map[string]*candidate
 	lastChosen string
 }
 
-// New returns a table for classes of these priority weights. Every site is unavailable until its first state arrives.
+// New returns a table for classes with the given priority weights. Every site is unavailable until its first state arrives.
 func New(weights []float64, sites []string) *Table {
 	t := &Table{sites: map[string]*candidate{}}
 	t.SetPriorityWeights(weights)
@@ -34,7 +34,8 @@
 	return t
 }
 
-// SetPriorityWeights replaces the priority weights. If they differ, what was learnt of the limits is forgotten.
+// SetPriorityWeights replaces the priority weights. If they differ from the previous ones, all limits are reset to their
+// initial values.
 func (t *Table) SetPriorityWeights(weights []float64) {
 	weights = slices.Clone(weights)
 	slices.Sort(weights)
@@ -51,7 +52,7 @@
 	}
 }
 
-// Add adds a site. A known one is kept as it is.
+// Add adds a site. A site that is in the table already stays unchanged.
 func (t *Table) Add(name string) {
 	if t.sites[name] == nil {
 		c := &candidate{Site: Site{Name: name}}
@@ -60,11 +61,11 @@
 	}
 }
 
-// Remove forgets a site.
+// Remove removes a site.
 func (t *Table) Remove(name string) { delete(t.sites, name) }
 
-// weightIndex returns the index of a priority weight, from 0 (the lowest). One that no class has counts as the next lower
-// one.
+// weightIndex returns the index of a priority weight, from 0 (the lowest). A weight that no class has counts as the next
+// lower one, or as the lowest.
 func (t *Table) weightIndex(weight float64) int {
 	i, found := slices.BinarySearch(t.weights, weight)
 	if !found {
@@ -73,13 +74,13 @@
 	return max(i, 0)
 }
 
-// UpdateState records what a connected site says of itself, and how long the round trip took.
+// UpdateState records the state that a connected site reported, and the round trip of that report.
 func (t *Table) UpdateState(name string, state State, roundTrip time.Duration) {
 	c := t.sites[name]
 	if c == nil {
 		return
 	}
-	if !c.connected { // it may be another process, or may have been away: what was learnt of it is outdated
+	if !c.connected { // the site may have restarted or been unreachable: its limits are outdated
 		c.connected = true
 		c.resetLimits(len(t.weights))
 	}
@@ -87,25 +88,26 @@
 	c.RoundTrip = AverageRoundTrip(c.RoundTrip, roundTrip)
 }
 
-// MarkDisconnected records that no gateway of a site can be reached.
+// MarkDisconnected records that no gateway of a site is reachable.
 func (t *Table) MarkDisconnected(name string) {
 	if c := t.sites[name]; c != nil {
 		c.connected, c.State, c.RoundTrip = false, Unavailable, 0
 	}
 }
 
-// Request is a request that its own site could not serve.
+// Request is a request that the local site could not serve.
 type Request struct {
 	PriorityWeight float64
 	TimeLeft       time.Duration
-	// OwnerSite is the only site that may have it, as it owns the idempotency key; empty: any of AllowedSites.
+	// OwnerSite is the only site that the request may be forwarded to, as it owns the idempotency key. If it is empty, the
+	// request may be forwarded to any of AllowedSites.
 	OwnerSite     string
-	AllowedSites  []string // that its route names
-	ExcludedSites []string // that it has been to
+	AllowedSites  []string // sites that the request's routing rule names
+	ExcludedSites []string // sites that the request must not be forwarded to, such as those it has visited
 }
 
-// Pick chooses the site that a request is forwarded to, and counts it as in flight there. If ok is false it is not to be
-// forwarded now, and retryAfter is when another try may succeed, 0 if that is not known.
+// Pick chooses the site that a request is forwarded to, and counts the request as in flight there. If ok is false, the
+// request must not be forwarded now. Then retryAfter is the time until a retry may succeed, or 0 if it is unknown.
 func (t *Table) Pick(now time.Time, r Request) (name string, retryAfter time.Duration, ok bool) {
 	var best *candidate
 	var bestCost float64
@@ -150,11 +152,11 @@
 	Served    Result = iota // an endpoint answered
 	Rejected                // rejected for load
 	Failed                  // failed in any other way
-	Abandoned               // the client left or its deadline passed: says nothing of the site
-	NotSent                 // nothing was sent
+	Abandoned               // the client disconnected or the deadline passed: says nothing about the site
+	NotSent                 // the request was not sent
 )
 
-// RecordResult records how a request ended that Pick has counted. RetryAfter is what a rejection says.
+// RecordResult records the result of a request that Pick counted as in flight. RetryAfter is the retry delay of a rejection.
 func (t *Table) RecordResult(now time.Time, name string, weight float64, result Result, retryAfter time.Duration) {
 	c := t.sites[name]
 	if c == nil || c.InFlight == 0 {
@@ -164,15 +166,15 @@
 	c.InFlight--
 	switch result {
 	case Served:
-		c.served(t.weightIndex(weight), inUse)
+		c.recordServed(t.weightIndex(weight), inUse)
 	case Rejected:
-		c.rejected(now, t.weightIndex(weight), retryAfter)
+		c.recordRejected(now, t.weightIndex(weight), retryAfter)
 	case Failed:
-		c.failed(now)
+		c.recordFailed(now)
 	}
 }
 
-// Sites returns the status of all other sites, by name.
+// Sites returns the status of all other sites, sorted by name.
 func (t *Table) Sites() []Site {
 	var out []Site
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
--- a/internal/sites/forwarding/table_test.go
+++ b/internal/sites/forwarding/table_test.go
@@ -15,16 +15,19 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// TestPickInvariants changes states, connections and results at random. An unavailable site gets nothing, a draining one
-// only requests whose key it owns, none more than its limits, which are in the order of the weights, and none a request
-// that has visited it; what is in flight is counted.
-func TestPickInvariants(t *testing.T) {
+// TestPickRespectsStatesLimitsAndExclusions changes states, connections and results at random, and checks after each step:
+//
+//   - An unavailable site gets no requests. A draining site gets only requests whose idempotency key it owns.
+//   - No site gets more requests than its limit for the priority weight, or a request that excludes it.
+//   - A higher weight never has a lower limit.
+//   - The table counts the requests in flight correctly.
+func TestPickRespectsStatesLimitsAndExclusions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
 		table := New([]float64{1, 3, 10}, names)
 		now := t0
 		states, connected := map[string]State{}, map[string]bool{}
-		inFlight := map[string][]float64{} // priority weights
+		inFlight := map[string][]float64{} // priority weights of the requests in flight, by site
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 80).Draw(t, "ms")) * time.Millisecond)
 			name := rapid.SampledFrom(names).Draw(t, "site")
@@ -57,41 +60,42 @@
 				s := table.sites[to]
 				switch {
 				case !connected[to] || states[to] == Unavailable:
-					t.Fatalf("%s is unavailable", to)
+					t.Fatalf("picked site %s, which is unavailable", to)
 				case states[to] == Draining && r.OwnerSite == "":
-					t.Fatalf("%s is draining", to)
+					t.Fatalf("picked site %s, which is draining, for a request without an owner", to)
 				case slices.Contains(r.ExcludedSites, to) || r.OwnerSite != "" && to != r.OwnerSite:
-					t.Fatalf("%s may not have it: %+v", to, r)
+					t.Fatalf("picked site %s, which is excluded or not the owner: %+v", to, r)
 				case r.TimeLeft < s.RoundTrip:
-					t.Fatalf("%v left for a round trip of %v", r.TimeLeft, s.RoundTrip)
+					t.Fatalf("forwarded with %v left, less than the round trip of %v", r.TimeLeft, s.RoundTrip)
 				}
 				inFlight[to] = append(inFlight[to], r.PriorityWeight)
 				if n := float64(len(inFlight[to])); n-1 >= s.limits[table.weightIndex(r.PriorityWeight)].limit {
-					t.Fatalf("%d in flight, weight %v, of %+v", len(inFlight[to]), r.PriorityWeight, s.limits)
+					t.Fatalf("%d requests in flight after one of weight %v was picked, above its limit of %+v", len(inFlight[to]), r.PriorityWeight, s.limits)
 				}
 			}
 			for _, s := range table.Sites() {
 				limits := table.sites[s.Name].limits
 				if s.InFlight != len(inFlight[s.Name]) || limits[0].limit < minLimit || s.ConcurrencyLimit > maxLimit {
-					t.Fatalf("%+v, %d in flight", s, len(inFlight[s.Name]))
+					t.Fatalf("status or limits out of bounds: %+v, want %d requests in flight", s, len(inFlight[s.Name]))
 				}
 				if !slices.IsSortedFunc(limits, func(a, b weightLimit) int { return cmp.Compare(a.limit, b.limit) }) {
-					t.Fatalf("not in the order of the weights: %+v", limits)
+					t.Fatalf("limits are not in the order of the weights: %+v", limits)
 				}
 			}
 		}
 	})
 }
 
-// TestForwardingGrowsGradually has a site of limited capacity take over within a few round trips without being overloaded
-// much. One that connects again starts with the initial limit; the site chosen last keeps its place.
-func TestForwardingGrowsGradually(t *testing.T) {
+// TestLimitGrowsToCapacityWithoutOverload forwards all that is admitted to a site of limited capacity. The site must take
+// over within a few round trips and get little more than its capacity. After a reconnection the limit must be the initial
+// one again. Of two sites, the one chosen last must be chosen again.
+func TestLimitGrowsToCapacityWithoutOverload(t *testing.T) {
 	table := New([]float64{1, 10}, []string{"b", "c"})
 	table.UpdateState("b", Available, time.Millisecond)
 	now := t0
 	const capacity = 60
 	peak, rounds := 0, 0
-	for ; rounds < 40; rounds++ { // each round forwards all that is admitted, and the site serves its capacity
+	for ; rounds < 40; rounds++ { // in each round all admitted requests are forwarded, and the site serves as many as its capacity
 		sent := 0
 		for range 200 {
 			if _, _, ok := table.Pick(now, Request{PriorityWeight: 10, TimeLeft: time.Second, AllowedSites: []string{"b"}}); ok {
@@ -109,32 +113,33 @@
 		}
 		now = now.Add(60 * time.Millisecond)
 		if rounds == 0 && sent > int(initialLimit) {
-			t.Fatalf("%d at once", sent)
+			t.Fatalf("%d requests forwarded in the first round, above the initial limit", sent)
 		}
 		if rounds == 5 && sent < capacity/2 {
-			t.Errorf("only %d after five rounds", sent)
+			t.Errorf("only %d requests forwarded after five rounds", sent)
 		}
 	}
 	if peak > 2*capacity+8 {
-		t.Errorf("a site with capacity for %d got %d", capacity, peak)
+		t.Errorf("a site with a capacity of %d requests got %d at once", capacity, peak)
 	}
 	if w := table.sites["b"].highestLimit(); w < capacity/2 || w > 1.5*capacity {
-		t.Errorf("settled at %.0f", w)
+		t.Errorf("limit after all rounds is %.0f, want it near the capacity", w)
 	}
 	table.MarkDisconnected("b")
 	table.UpdateState("b", Available, time.Millisecond)
 	if w := table.sites["b"].highestLimit(); w != initialLimit {
-		t.Errorf("connected again with a limit of %.0f", w)
+		t.Errorf("limit after a reconnection is %.0f, want the initial limit", w)
 	}
 	table.UpdateState("c", Available, time.Millisecond)
 	first, _, _ := table.Pick(now, Request{PriorityWeight: 10, TimeLeft: time.Second, AllowedSites: []string{"b", "c"}})
 	table.RecordResult(now, first, 10, Served, 0)
 	if again, _, _ := table.Pick(now, Request{PriorityWeight: 10, TimeLeft: time.Second, AllowedSites: []string{"c", "b"}}); again != first {
-		t.Errorf("%s after %s", again, first)
+		t.Errorf("picked %s after %s, want the same site again", again, first)
 	}
 }
 
-// TestRejectionBacksOffLowWeights rejects a request: its weight and all lower ones back off for as long as it says.
+// TestRejectionBacksOffLowWeights rejects a request. Its weight and all lower ones must back off for the retry delay of the
+// rejection, and a higher weight must not.
 func TestRejectionBacksOffLowWeights(t *testing.T) {
 	table := New([]float64{1, 3, 10}, []string{"b"})
 	table.UpdateState("b", Available, time.Millisecond)
@@ -149,16 +154,17 @@
 	table.RecordResult(t0, "b", 3, Rejected, 80*time.Millisecond)
 	for weight, want := range map[float64]bool{1: false, 3: false, 10: true} {
 		if retryAfter, ok := pick(t0.Add(20*time.Millisecond), weight); ok != want || !ok && retryAfter != 60*time.Millisecond {
-			t.Errorf("weight %v: %v, retry after %v", weight, ok, retryAfter)
+			t.Errorf("during the backoff, weight %v: admitted %v, retry after %v", weight, ok, retryAfter)
 		}
 		if _, ok := pick(t0.Add(80*time.Millisecond), weight); !ok {
-			t.Errorf("weight %v after the backoff", weight)
+			t.Errorf("weight %v is not admitted after the backoff", weight)
 		}
 	}
 }
 
-// TestRoute asks for the next site of requests in all states.
-func TestRoute(t *testing.T) {
+// TestNextForwardsOnlySafeRequests asks for the next site of requests with different effects, progress and owners. A request
+// must be forwarded only where it cannot run twice, and for the right reason.
+func TestNextForwardsOnlySafeRequests(t *testing.T) {
 	state := func(cluster string) idempotency.KeyState {
 		return idempotency.KeyState{Known: true, Place: idempotency.Place{Cluster: cluster}}
 	}
@@ -179,7 +185,7 @@
 		"key without an owner, may have run": {route: Route{Effect: lbpolicy.KeyedIdempotent}, p: Progress{MayHaveRun: true}},
 		"owner allowed":                      {route: Route{Effect: lbpolicy.KeyedIdempotent}, p: Progress{MayHaveRun: true, OwnerSite: "b"}, ok: true, owner: "b", reason: accounting.KeyOwned},
 		"owner is the local site":            {route: Route{Effect: lbpolicy.KeyedIdempotent}, p: Progress{OwnerSite: "a"}},
-		"several owners":                     {route: Route{Effect: lbpolicy.KeyedIdempotent}, p: Progress{OwnerSite: NoSite}},
+		"several owners":                     {route: Route{Effect: lbpolicy.KeyedIdempotent}, p: Progress{OwnerSite: AmbiguousOwner}},
 		"owner visited":                      {route: Route{Effect: lbpolicy.KeyedIdempotent, VisitedSites: []string{"b"}}, p: Progress{OwnerSite: "b"}},
 		"owner not allowed":                  {route: Route{Effect: lbpolicy.KeyedIdempotent}, p: Progress{OwnerSite: "x"}},
 		"no attempts left":                   {route: Route{Effect: lbpolicy.Idempotent, MaxAttempts: 2}, p: Progress{NewAttempts: 2}},
@@ -194,24 +200,25 @@
 		c.p.Deadline = later
 		r, reason, ok := c.route.Next(c.p)
 		if ok != c.ok || ok && (r.OwnerSite != c.owner || reason != c.reason || !slices.Contains(r.ExcludedSites, "a")) {
-			t.Errorf("%s: %+v %v %v", name, r, reason, ok)
+			t.Errorf("%s: next request %+v, reason %v, ok %v", name, r, reason, ok)
 		}
 	}
 	route := Route{LocalSite: "a", Effect: lbpolicy.Idempotent, AllowedSites: []string{"b", "c"}}
 	route.MarkForwarded("b")
 	if r, _, _ := route.Next(Progress{Now: t0, Deadline: later}); !slices.Contains(r.ExcludedSites, "b") {
-		t.Error("forwarded to one site twice")
+		t.Error("a site that the request was forwarded to is not excluded")
 	}
 	if h := OwnerSite(state("b/c"), idempotency.KeyState{}, state("b/")); h != "b" {
 		t.Error(h)
 	}
-	if h := OwnerSite(state("b/c"), state("c/c")); h != NoSite {
+	if h := OwnerSite(state("b/c"), state("c/c")); h != AmbiguousOwner {
 		t.Error(h)
 	}
 }
 
-// TestDelayEstimator checks that the time left never grows, whatever the clocks read, and shrinks by the queueing delay.
-func TestDelayEstimator(t *testing.T) {
+// TestQueueingDelayIsIndependentOfClockOffset sends messages between clocks with a random offset. The time left must never
+// grow. Within the first window the queueing delay must be the transit time above the shortest one.
+func TestQueueingDelayIsIndependentOfClockOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e DelayEstimator
 		offset := time.Duration(rapid.Int64Range(-1e15, 1e15).Draw(t, "clock offset"))
@@ -222,10 +229,10 @@
 			late := e.QueueingDelay(sent, sent+transit+offset)
 			timeLeft := time.Duration(rapid.Int64Range(0, 5e9).Draw(t, "time left"))
 			if left := TimeLeftOnArrival(timeLeft, 0, late); left > timeLeft || late < 0 || late > transit {
-				t.Fatalf("%v of %v left, delayed by %v of %v", left, timeLeft, late, transit)
+				t.Fatalf("time left %v of %v, queueing delay %v of a transit time of %v", left, timeLeft, late, transit)
 			}
 			if shortest = min(shortest, transit); sent+transit < delayWindow && late != transit-shortest {
-				t.Fatalf("delayed by %v, not %v", late, transit-shortest)
+				t.Fatalf("queueing delay is %v, want %v", late, transit-shortest)
 			}
 		}
 	})
