--- a/internal/sites/accounting/accounting.go
+++ b/internal/sites/accounting/accounting.go
@@ -1,9 +1,10 @@
-// Package accounting counts the requests that are forwarded over one session between two sites, at both ends, so that the
-// ends agree on the outcome of every request, also after the connection was cut. It has no I/O, clock or goroutines; the
+// Package accounting counts the requests that are forwarded over one session between two sites. Both ends count, and they
+// agree on the outcome of every request, even after the connection was cut. The package has no I/O, clock or goroutines; the
 // caller owns the accounts.
 //
-// A session numbers its requests. The sending end (Sender) knows which numbers were answered. Those that were not when
-// the client left or the connection broke are pending, and the sending end asks the receiving end (Receiver) for their
-// outcome. The receiving end never takes an outcome back: a number that has not arrived when it is asked about is voided,
-// so that NeverArrived proves that the request did not run and never will.
+// A session numbers its requests. The sending end (Sender) knows which requests were answered; all others are pending. If
+// the client disconnects or the connection breaks while a request is pending, the sending end asks the receiving end
+// (Receiver) for its outcome. The receiving end never changes an outcome that it has reported. If a request has not arrived
+// when the sending end asks for it, the receiving end rejects it from then on. So NeverArrived proves that the request did
+// not run and never will.
 package accounting
--- a/internal/sites/accounting/accounting_test.go
+++ b/internal/sites/accounting/accounting_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestSenderAndReceiverAgree delays and loses messages, lets clients leave and breaks the session. A request that the sending
-// end knows as not run did not run and will not, and once all is settled both ends count the same.
-func TestSenderAndReceiverAgree(t *testing.T) {
+// TestSenderAndReceiverAgreeAfterSettling delays, loses and repeats messages, disconnects clients and breaks the session. A
+// request that the sending end knows as not run must not have run and must not run later. Once all requests are settled,
+// both ends must have the same counters, unless the receiver was full.
+func TestSenderAndReceiverAgreeAfterSettling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sender, receiver := NewSender(), NewReceiver(rapid.IntRange(3, 64).Draw(t, "max remembered"))
 		kinds := []Kind{{"reserva", "a", Shed}, {"consulta", "a", Failed}, {"consulta", "b", KeyOwned}}
@@ -17,11 +18,11 @@
 			number uint64
 			kind   Kind
 		}
-		var inTransit []message       // sent, not arrived
+		var inTransit []message       // sent and not arrived
 		inFlight := map[uint64]bool{} // at the receiving end
 		ran := map[uint64]bool{}
-		outcomes := map[uint64]Outcome{}  // what the sending end knows
-		responses := map[uint64]Outcome{} // not arrived at the sending end
+		outcomes := map[uint64]Outcome{}  // known to the sending end
+		responses := map[uint64]Outcome{} // not yet arrived at the sending end
 		oldest := func(m map[uint64]bool) (uint64, bool) {
 			for n := uint64(1); n <= sender.Sent(); n++ {
 				if m[n] {
@@ -43,11 +44,11 @@
 			switch err := receiver.Receive(m.number, m.kind); {
 			case err == nil:
 				inFlight[m.number], ran[m.number] = true, true
-			case errors.Is(err, ErrFull): // rejected at once: nothing ran
+			case errors.Is(err, ErrFull): // rejected on arrival, so it did not run
 				responses[m.number] = NeverRan
 			}
 			if outcomes[m.number].ProvesNothingRan() && ran[m.number] {
-				t.Fatalf("%d has run after it was reported as %v", m.number, outcomes[m.number])
+				t.Fatalf("request %d has run after it was reported as %v", m.number, outcomes[m.number])
 			}
 		}
 		end := func(n uint64) {
@@ -56,7 +57,8 @@
 			receiver.Resolve(n, o)
 			responses[n] = o
 		}
-		full := false // a request that a full receiver rejected is counted by the sending end alone
+		// A request that a full receiver rejected is counted by the sending end alone.
+		full := false
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
@@ -73,7 +75,7 @@
 						before := receiver.ArrivalCount()
 						receiver.Receive(m.number, m.kind)
 						if receiver.ArrivalCount() != before && responses[m.number] != NeverRan {
-							t.Fatal("received twice")
+							t.Fatal("repeated request was received a second time")
 						}
 					}
 				}
@@ -95,7 +97,7 @@
 					}
 					break
 				}
-			case 5: // a client leaves
+			case 5: // a client disconnects
 				if n := sender.Sent(); n > 0 {
 					sender.Abandon(uint64(rapid.IntRange(1, int(n)).Draw(t, "abandoned")))
 				}
@@ -103,7 +105,7 @@
 				settle()
 			}
 		}
-		// The session breaks: what is in transit arrives or never does, what is in flight ends, and all is settled.
+		// The session breaks: requests in transit all arrive or all get lost. Then requests in flight end, and all are settled.
 		if rapid.Bool().Draw(t, "arrive") {
 			for _, m := range inTransit {
 				deliver(m)
@@ -118,21 +120,22 @@
 		}
 		settle()
 		if sender.Pending() != 0 {
-			t.Fatalf("%d have no known outcome after the session was settled", sender.Pending())
+			t.Fatalf("%d requests have no known outcome after the session was settled", sender.Pending())
 		}
 		for n := uint64(1); n <= sender.Sent(); n++ {
 			if o := outcomes[n]; ran[n] == o.ProvesNothingRan() {
-				t.Fatalf("%d: ran %v, reported %v", n, ran[n], o)
+				t.Fatalf("request %d: ran %v, reported as %v", n, ran[n], o)
 			}
 		}
 		if d := Reconcile(sender.Counters(), receiver.Counters()); len(d) > 0 && !full {
-			t.Fatalf("the ends differ: %+v", d)
+			t.Fatalf("counters of the two ends differ: %+v", d)
 		}
 	})
 }
 
-// TestManyKinds counts more kinds than are counted separately: none is lost, and a difference between the ends is found.
-func TestManyKinds(t *testing.T) {
+// TestKindsBeyondMaximumAreCounted counts requests of more kinds than are counted separately. No request must be lost, and
+// a difference between the two ends must be found.
+func TestKindsBeyondMaximumAreCounted(t *testing.T) {
 	sender, receiver := NewSender(), NewReceiver(1<<20)
 	const n = 3 * maxKinds
 	for i := range n {
@@ -147,16 +150,16 @@
 		}
 	}
 	if len(sender.Counters()) > maxKinds+2 {
-		t.Errorf("%d kinds", len(sender.Counters()))
+		t.Errorf("%d counters, want at most maxKinds + 2", len(sender.Counters()))
 	}
 	var sum uint64
 	for _, s := range Merge(sender.Counters(), sender.Counters()) {
 		sum += s.Count
 	}
 	if sum != 2*n || sender.SettledTo() != 7 {
-		t.Errorf("%d counted, done to %d", sum, sender.SettledTo())
+		t.Errorf("%d requests counted and settled to %d, want each request once and settled to 7", sum, sender.SettledTo())
 	}
 	if d := Reconcile(sender.Counters(), receiver.Counters()); len(d) != 2 || d[0].Outcome != Pending || d[0].Sent != 1 || d[1].Received != 1 {
-		t.Errorf("differences: %+v", d)
+		t.Errorf("want one pending request at the sender and one served request at the receiver, found differences: %+v", d)
 	}
 }
--- a/internal/sites/accounting/counters.go
+++ b/internal/sites/accounting/counters.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Kind is what forwarded requests are counted by.
+// Kind is the combination of attributes by which forwarded requests are counted.
 type Kind struct {
 	Class  string `codec:"Class" json:"Class"`
 	Tenant string `codec:"Tenant" json:"Tenant"`
@@ -19,16 +19,18 @@
 	Count   uint64  `codec:"Count" json:"Count"`
 }
 
-// maxKinds bounds the kinds that are counted separately. Further ones count without their tenant, then as OtherClass.
+// maxKinds is the maximum number of kinds that are counted separately. Beyond it, a request of a new kind is counted under
+// its class and reason without the tenant, or under OtherClass if that is a new kind, too.
 const maxKinds = 4096
 
-// OtherClass is the class of what is not counted separately.
+// OtherClass is the class under which requests are counted that are not counted separately.
 const OtherClass = "(other)"
 
-// counters counts by kind and outcome. It holds at most maxKinds kinds and one more, of OtherClass.
+// counters holds the number of requests by kind and outcome. It holds at most maxKinds kinds and one more, of OtherClass.
 type counters map[Kind]*[outcomeCount]uint64
 
-// ensureCounters returns the kind under which a request of a kind is counted, and creates its counters.
+// ensureCounters returns the kind under which requests of kind k are counted, and creates the counters of that kind if there
+// are none.
 func (c counters) ensureCounters(k Kind) Kind {
 	counted := Kind{Class: OtherClass}
 	for _, candidate := range []Kind{k, {Class: k.Class, Reason: k.Reason}} {
@@ -43,13 +45,13 @@
 	return counted
 }
 
-// move counts a request of a kind under another outcome than before.
+// move moves one request of a kind from one outcome to another.
 func (c counters) move(k Kind, from, to Outcome) {
 	c[k][from]--
 	c[k][to]++
 }
 
-// sorted returns all counters that are not zero, in the order of compareCounters.
+// sorted returns all nonzero counters, in the order of compareCounters.
 func (c counters) sorted() []Counter {
 	var out []Counter
 	for kind, counts := range c {
@@ -63,7 +65,7 @@
 	return out
 }
 
-// compareCounters orders by class, tenant, reason and outcome.
+// compareCounters orders counters by class, tenant, reason and outcome.
 func compareCounters(a, b Counter) int {
 	return cmp.Or(
 		cmp.Compare(a.Class, b.Class),
@@ -73,7 +75,7 @@
 	)
 }
 
-// Merge adds up the counters of several sessions.
+// Merge returns the sums of the counters of several sessions, sorted.
 func Merge(all ...[]Counter) []Counter {
 	total := map[Counter]uint64{}
 	for _, counters := range all {
@@ -92,7 +94,7 @@
 	return out
 }
 
-// Difference is a counter in which the two ends of a session differ.
+// Difference is a counter that differs between the two ends of a session.
 type Difference struct {
 	Kind
 	Outcome  Outcome `json:"Outcome"`
@@ -100,8 +102,8 @@
 	Received uint64  `json:"Received"`
 }
 
-// Reconcile returns the counters in which the two ends of one session differ. NeverArrived is counted by the sending end
-// alone and is not compared. While requests are in flight or not settled, differences are expected.
+// Reconcile returns the counters that differ between the two ends of one session. NeverArrived is not compared, as only the
+// sending end counts it. Differences are expected while requests are in flight or not settled.
 func Reconcile(sent, received []Counter) []Difference {
 	type counts struct{ sent, received uint64 }
 	both := map[Counter]counts{}
--- a/internal/sites/accounting/outcome.go
+++ b/internal/sites/accounting/outcome.go
@@ -1,20 +1,20 @@
 package accounting
 
-// Outcome is how a forwarded request ended. Its number is part of the peering protocol.
+// Outcome is the outcome of a forwarded request. Its numeric value is part of the peering protocol.
 type Outcome uint8
 
-// The outcomes. The receiving end reports Served to MayHaveRun.
+// The outcomes. The receiving end records the outcomes from Served to MayHaveRun.
 const (
 	Pending      Outcome = iota // not known yet
 	Served                      // an endpoint answered
 	Rejected                    // rejected for load before anything ran
-	NeverRan                    // failed, with proof that nothing ran
+	NeverRan                    // failed, and certainly did not run
 	MayHaveRun                  // failed, and may have run
-	NeverArrived                // was sent, has not arrived and will not be accepted any more
+	NeverArrived                // sent but not arrived, and rejected if it still arrives
 	outcomeCount = iota
 )
 
-// String returns the name that operators read.
+// String returns the name that is shown to operators.
 func (o Outcome) String() string {
 	if int(o) >= outcomeCount {
 		return "unknown"
@@ -27,19 +27,19 @@
 	return o == Rejected || o == NeverRan || o == NeverArrived
 }
 
-// Reason is why a request is forwarded. Its number is part of the peering protocol.
+// Reason is the reason why a request is forwarded. Its numeric value is part of the peering protocol.
 type Reason uint8
 
 // The reasons.
 const (
-	Shed        Reason = iota // the local site rejected it for load
+	Shed        Reason = iota // the local site rejected the request for load
 	Failed                    // no endpoint of the local site could be reached
-	KeyOwned                  // its idempotency key may have run in the other site
-	Transit                   // it came from a third site
+	KeyOwned                  // a request with the same idempotency key may have run at the other site
+	Transit                   // the request came from a third site
 	reasonCount = iota
 )
 
-// String returns the name that operators read.
+// String returns the name that is shown to operators.
 func (r Reason) String() string {
 	if int(r) >= reasonCount {
 		return "unknown"
--- a/internal/sites/accounting/receiver.go
+++ b/internal/sites/accounting/receiver.go
@@ -5,39 +5,39 @@
 	"maps"
 )
 
-// The reasons for which Receive rejects a request, which must not run then.
+// Errors of Receive. A request that is rejected with one of them must not run.
 var (
-	// ErrVoided says that the sending end was notified that the request never arrived.
-	ErrVoided = errors.New("accounting: the request was reported as never arrived")
-	// ErrDuplicate says that a number arrived twice or was forgotten.
-	ErrDuplicate = errors.New("accounting: the number was received before")
-	// ErrFull says that the sending end has to settle first.
+	// ErrVoided means that the session is closed, or that the request was reported as never arrived.
+	ErrVoided = errors.New("accounting: request rejected, as its session is closed or it was reported as never arrived")
+	// ErrDuplicate means that the number arrived before, or is one of those up to which the sending end has settled.
+	ErrDuplicate = errors.New("accounting: request number was received before or is settled")
+	// ErrFull means that the receiver remembers as many requests as it may. The sending end has to settle some first.
 	ErrFull = errors.New("accounting: too many unsettled requests")
 )
 
 // Receiver is the receiving end's account of one session. It is not safe for concurrent use.
 type Receiver struct {
 	maxRemembered int
-	settledTo     uint64 // up to here the sending end knows every outcome
+	settledTo     uint64 // the sending end knows the outcome of every number up to this one
 	arrivals      map[uint64]*arrival
 	closed        bool
 	arrivalCount  uint64
 	counters      counters
 }
 
-// arrival is a number that has arrived, or whose arrival was ruled out (NeverArrived).
+// arrival is a request that has arrived, or that was reported as NeverArrived and will be rejected.
 type arrival struct {
 	kind    Kind
 	outcome Outcome
 }
 
-// NewReceiver returns the account of a session on which nothing arrived. It remembers at most maxRemembered requests whose
-// outcome the sending end may not know.
+// NewReceiver returns the account of a session on which no request has arrived. It remembers at most maxRemembered requests
+// whose outcome the sending end may not know.
 func NewReceiver(maxRemembered int) *Receiver {
 	return &Receiver{maxRemembered: maxRemembered, arrivals: map[uint64]*arrival{}, counters: counters{}}
 }
 
-// Receive counts a request that has arrived. After an error it is not counted and must not run.
+// Receive counts a request that has arrived. If it returns an error, the request is not counted and must not run.
 func (r *Receiver) Receive(number uint64, k Kind) error {
 	known := r.arrivals[number]
 	switch {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Resolve records how a request ended. Only its first end counts.
+// Resolve records the outcome of a request. Only the first outcome counts.
 func (r *Receiver) Resolve(number uint64, outcome Outcome) {
 	known := r.arrivals[number]
 	if known == nil || known.outcome != Pending {
@@ -65,7 +65,7 @@
 	r.counters.move(known.kind, Pending, outcome)
 }
 
-// Forget drops the outcomes up to a number, which the sending end knows.
+// Forget drops the outcomes of all requests up to the number settledTo, which the sending end knows. Pending requests are kept.
 func (r *Receiver) Forget(settledTo uint64) {
 	if settledTo <= r.settledTo {
 		return
@@ -76,11 +76,12 @@
 	})
 }
 
-// Close ends the session: no further request of it is received.
+// Close ends the session: all further requests are rejected.
 func (r *Receiver) Close() { r.closed = true }
 
-// OutcomeOf reports how a request ended, and holds to it: a number that has not arrived by now never will. Pending means
-// that it is in flight, or that a full account cannot rule its arrival out yet.
+// OutcomeOf returns the outcome of a request. A request that has not arrived yet is NeverArrived, and is rejected from then
+// on. Pending means that the request is in flight, that its number is settled and forgotten, or that the account is full and
+// cannot remember to reject the request.
 func (r *Receiver) OutcomeOf(number uint64) Outcome {
 	known := r.arrivals[number]
 	switch {
@@ -105,8 +106,8 @@
 	return true
 }
 
-// ArrivalCount returns the number of requests that arrived.
+// ArrivalCount returns the number of requests that were received.
 func (r *Receiver) ArrivalCount() uint64 { return r.arrivalCount }
 
-// Counters returns the counters, sorted.
+// Counters returns all nonzero counters, sorted.
 func (r *Receiver) Counters() []Counter { return r.counters.sorted() }
--- a/internal/sites/forwarding/candidate.go
+++ b/internal/sites/forwarding/candidate.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	switchMargin   = 0.2                    // added to the cost of every site but the last chosen one
+	switchMargin   = 0.2                    // by which another site must be cheaper to replace the last chosen one
 	roundTripScale = 100 * time.Millisecond // round trip that costs as much as a fully used limit
 	sheddingCost   = 0.5                    // added to the cost of a site that sheds load
 	minTimeLeft    = 2 * time.Millisecond   // time that a request must have left at the other site, besides the round trip
--- a/internal/sites/forwarding/forwarding.go
+++ b/internal/sites/forwarding/forwarding.go
@@ -8,8 +8,8 @@
 //
 //   - Each site has a concurrency limit for each priority weight. The limit starts small, grows with the requests that are
 //     served while it is in use, and shrinks when the site rejects a request or fails. It grows by one for each request
-//     served, which doubles it each round trip (RFC 5681, slow start). After a decrease it grows by one each round trip
-//     once it is above the decreased limit (RFC 5681, congestion avoidance).
+//     served, which doubles it each round trip (RFC 5681, slow start). From the value that the last decrease left, it grows
+//     by one each round trip (RFC 5681, congestion avoidance).
 //   - Requests of low weights are held back first. A request that is served raises the limits of its weight and of all
 //     higher ones. A request that is rejected lowers the limits of its weight and of all lower ones, because the other site
 //     rejects low weights first. So a higher weight never has a lower limit.
--- a/internal/sites/forwarding/limit.go
+++ b/internal/sites/forwarding/limit.go
@@ -39,8 +39,8 @@
 	l.limit = min(l.limit, maxLimit)
 }
 
-// decrease lowers the limit, at most once in a round trip and once in minDecreaseInterval, so that requests that were in
-// flight together lower it once.
+// decrease lowers the limit, at most once per round trip or minDecreaseInterval, whichever is longer. So requests that were
+// in flight together lower it once.
 func (l *weightLimit) decrease(now time.Time, roundTrip time.Duration) {
 	if now.Sub(l.decreasedAt) < max(roundTrip, minDecreaseInterval) {
 		return
--- a/internal/sites/forwarding/table_test.go
+++ b/internal/sites/forwarding/table_test.go
@@ -122,13 +122,13 @@
 	if peak > 2*capacity+8 {
 		t.Errorf("a site with a capacity of %d requests got %d at once", capacity, peak)
 	}
-	if w := table.sites["b"].highestLimit(); w < capacity/2 || w > 1.5*capacity {
-		t.Errorf("limit after all rounds is %.0f, want it near the capacity", w)
+	if limit := table.sites["b"].highestLimit(); limit < capacity/2 || limit > 1.5*capacity {
+		t.Errorf("limit after all rounds is %.0f, want it near the capacity", limit)
 	}
 	table.MarkDisconnected("b")
 	table.UpdateState("b", Available, time.Millisecond)
-	if w := table.sites["b"].highestLimit(); w != initialLimit {
-		t.Errorf("limit after a reconnection is %.0f, want the initial limit", w)
+	if limit := table.sites["b"].highestLimit(); limit != initialLimit {
+		t.Errorf("limit after a reconnection is %.0f, want the initial limit", limit)
 	}
 	table.UpdateState("c", Available, time.Millisecond)
 	first, _, _ := table.Pick(now, Request{PriorityWeight: 10, TimeLeft: time.Second, AllowedSites: []string{"b", "c"}})
@@ -163,7 +163,8 @@
 }
 
 // TestNextForwardsOnlySafeRequests asks for the next site of requests with different effects, progress and owners. A request
-// must be forwarded only where it cannot run twice, and for the right reason.
+// must be forwarded only where it cannot run twice, and for the right reason. OwnerSite must return AmbiguousOwner if the
+// key states name several sites.
 func TestNextForwardsOnlySafeRequests(t *testing.T) {
 	state := func(cluster string) idempotency.KeyState {
 		return idempotency.KeyState{Known: true, Place: idempotency.Place{Cluster: cluster}}
@@ -208,11 +209,11 @@
 	if r, _, _ := route.Next(Progress{Now: t0, Deadline: later}); !slices.Contains(r.ExcludedSites, "b") {
 		t.Error("a site that the request was forwarded to is not excluded")
 	}
-	if h := OwnerSite(state("b/c"), idempotency.KeyState{}, state("b/")); h != "b" {
-		t.Error(h)
+	if owner := OwnerSite(state("b/c"), idempotency.KeyState{}, state("b/")); owner != "b" {
+		t.Error(owner)
 	}
-	if h := OwnerSite(state("b/c"), state("c/c")); h != AmbiguousOwner {
-		t.Error(h)
+	if owner := OwnerSite(state("b/c"), state("c/c")); owner != AmbiguousOwner {
+		t.Error(owner)
 	}
 }
 
