--- a/internal/sites/accounting/receiver.go
+++ b/internal/sites/accounting/receiver.go
@@ -8,9 +8,9 @@
 // Errors of Receive. A request that is rejected with one of them must not run.
 var (
 	// ErrVoided means that the session is closed, or that the request was reported as never arrived.
-	ErrVoided = errors.New("accounting: request rejected, as its session is closed or it was reported as never arrived")
+	ErrVoided = errors.New("accounting: the request was reported as never arrived")
 	// ErrDuplicate means that the number arrived before, or is one of those up to which the sending end has settled.
-	ErrDuplicate = errors.New("accounting: request number was received before or is settled")
+	ErrDuplicate = errors.New("accounting: the number was received before")
 	// ErrFull means that the receiver remembers as many requests as it may. The sending end has to settle some first.
 	ErrFull = errors.New("accounting: too many unsettled requests")
 )
