--- a/internal/gateway/route/path.go
+++ b/internal/gateway/route/path.go
@@ -8,20 +8,21 @@
 	"strings"
 )
 
-// Errors of the normalisers. Each means that the request is malformed, or ambiguous.
+// Errors of NormalisePath. Each means that the path is malformed or ambiguous.
 var (
-	errNoSlash  = errors.New("path: does not begin with a slash")
-	errAbove    = errors.New("path: climbs over its root")
-	errParam    = errors.New("path: a dot segment with parameters")
-	errFragment = errors.New("path: holds a fragment")
+	errMissingSlash         = errors.New("path: does not begin with a slash")
+	errAboveRoot            = errors.New("path: climbs over its root")
+	errDotSegmentParameters = errors.New("path: a dot segment with parameters")
+	errFragment             = errors.New("path: holds a fragment")
 )
 
-// Classes of the bytes of a path. Others are rejected.
+// Classes of path bytes. Control characters, the space, '#', '%', '/', '?' and '\' have no class.
 const (
-	literalByte = iota + 1 // kept as it is (RFC 3986, 3.3 pchar)
+	literalByte = iota + 1 // kept unchanged (RFC 3986, 3.3 pchar)
 	encodedByte            // written as %XX
 )
 
+// pathBytes is the class of each byte, 0 if it has none.
 var pathBytes = func() (t [256]uint8) {
 	for c := range t {
 		switch {
@@ -34,25 +35,29 @@
 	return t
 }()
 
+// isUnreserved reports whether c is an unreserved character (RFC 3986, 2.3).
 func isUnreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '-' || c == '.' || c == '_' || c == '~'
 }
 
-// NormalisePath returns the canonical form of a path (the request target up to its question mark), in which it is matched and forwarded. So
-// no spelling of a path reaches an endpoint through a route that it was not matched against:
+// NormalisePath returns the canonical form of a path (the request target up to its question mark). Requests are matched and
+// forwarded with this form, so that no spelling of a path reaches an endpoint through a route that was not matched against
+// what the endpoint sees:
 //
-//   - %XX of an unreserved character is decoded, other hexadecimal digits are upper case (RFC 3986, 6.2.2)
-//   - bytes that are not allowed in a path (beyond ASCII, quotes, braces) are encoded
-//   - empty segments go ("//" is "/"), then dot segments ("." and "..", also encoded) are resolved; a slash at the
-//     end stays
+//   - %XX of an unreserved character is decoded. The hexadecimal digits of other encodings are written in upper case
+//     (RFC 3986, 6.2.2).
+//   - Bytes that are not allowed in a path (beyond ASCII, quotes, braces) are encoded.
+//   - Empty segments are removed ("//" becomes "/"). Then dot segments ("." and "..", also encoded ones) are resolved. A
+//     slash at the end is kept.
 //
-// What implementations read differently is an error: %2F, %5C and a backslash, control characters and spaces, %XX of one, an incomplete
-// encoding, a path that climbs over its root, a fragment, dot segments with parameters ("..;x").
+// Paths that implementations interpret differently are an error. These contain %2F, %5C or a backslash, a control character
+// or its encoding, a space, an incomplete encoding, a fragment, a dot segment with parameters ("..;x"), or a ".." that leads
+// above the root.
 //
-// It allocates nothing for a path in canonical form, which it returns unchanged.
+// A path in canonical form is returned unchanged, without an allocation.
 func NormalisePath(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' {
-		return "", errNoSlash
+		return "", errMissingSlash
 	}
 	for i := 0; i < len(raw); i++ {
 		c := raw[i]
@@ -64,9 +69,10 @@
 	return raw, nil
 }
 
+// rewritePath returns the canonical form of a path that begins with a slash.
 func rewritePath(raw string) (string, error) {
 	out := make([]byte, 0, len(raw)+16)
-	var starts []int // of the segments in out, at their slashes
+	var starts []int // index of each segment in out, at its slash
 	for rest, more := raw[1:], true; more; {
 		var segment string
 		segment, rest, more = strings.Cut(rest, "/")
@@ -79,13 +85,13 @@
 		switch text := string(out[at+1:]); {
 		case text == "" || text == ".":
 			out = out[:at]
-			if !more { // a slash at the end stays
+			if !more { // keep the slash at the end
 				out = append(out, '/')
 			}
 			continue
 		case text == "..":
 			if len(starts) == 0 {
-				return "", errAbove
+				return "", errAboveRoot
 			}
 			out = out[:starts[len(starts)-1]]
 			starts = starts[:len(starts)-1]
@@ -94,7 +100,7 @@
 			}
 			continue
 		case isDotSegmentWithParameters(text):
-			return "", errParam
+			return "", errDotSegmentParameters
 		}
 		starts = append(starts, at)
 	}
@@ -104,16 +110,18 @@
 	return string(out), nil
 }
 
-// isDotSegmentWithParameters reports whether a segment is a dot segment to implementations that remove parameters first.
+// isDotSegmentWithParameters reports whether a segment is a dot segment for implementations that remove its parameters
+// before they resolve dot segments.
 func isDotSegmentWithParameters(segment string) bool {
-	for _, mark := range []string{";", "%3B"} {
-		if base, _, cut := strings.Cut(segment, mark); cut && (base == "." || base == "..") {
+	for _, separator := range []string{";", "%3B"} {
+		if base, _, cut := strings.Cut(segment, separator); cut && (base == "." || base == "..") {
 			return true
 		}
 	}
 	return false
 }
 
+// appendSegment appends the canonical form of a segment to out.
 func appendSegment(out []byte, segment string) ([]byte, error) {
 	const digits = "0123456789ABCDEF"
 	for i := 0; i < len(segment); i++ {
@@ -140,6 +148,7 @@
 	return out, nil
 }
 
+// hexValue returns the value of a hexadecimal digit, -1 if c is none.
 func hexValue(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -153,12 +162,12 @@
 }
 
 const (
-	maxHostLength  = 253 // RFC 1035, 2.3.4, without the dot at the end
-	maxLabelLength = 63
+	maxHostLength  = 253 // bytes, without the dot at the end (RFC 1035, 2.3.4)
+	maxLabelLength = 63  // bytes (RFC 1035, 2.3.4)
 )
 
-// NormaliseHost returns the form in which a Host header is matched: lower case, without port and without a dot at its end. An IPv6 address
-// loses its brackets. It allocates nothing for a name in lower case.
+// NormaliseHost returns the form in which a Host header is matched: in lower case, without a port and without a dot at its
+// end. The brackets of an IPv6 address are removed. A name in lower case needs no allocation.
 func NormaliseHost(raw string) (string, error) {
 	host := raw
 	switch i := strings.LastIndexByte(host, ':'); {
@@ -166,7 +175,7 @@
 		return normaliseIPv6(raw)
 	case i >= 0:
 		if !isPort(host[i+1:]) {
-			return "", fmt.Errorf("host: port of %.60q", raw)
+			return "", fmt.Errorf("host: invalid port in %.60q", raw)
 		}
 		host = host[:i]
 	}
@@ -177,7 +186,7 @@
 		return "", fmt.Errorf("host: an empty label in %.60q", raw)
 	}
 	if len(host) > maxHostLength {
-		return "", errors.New("host: over 253 bytes")
+		return "", errors.New("host: name is longer than 253 bytes")
 	}
 	hasUpper, err := checkLabels(host, raw)
 	if err != nil {
@@ -193,16 +202,16 @@
 func normaliseIPv6(raw string) (string, error) {
 	end := strings.IndexByte(raw, ']')
 	if end < 0 || end+1 < len(raw) && (raw[end+1] != ':' || !isPort(raw[end+2:])) {
-		return "", fmt.Errorf("host: %.60q", raw)
+		return "", fmt.Errorf("host: %.60q is not an IPv6 address in brackets with an optional port", raw)
 	}
 	ip, err := netip.ParseAddr(raw[1:end])
 	if err != nil || !ip.Is6() || ip.Zone() != "" {
-		return "", fmt.Errorf("host: %.60q", raw)
+		return "", fmt.Errorf("host: %.60q is not an IPv6 address in brackets with an optional port", raw)
 	}
 	return ip.String(), nil
 }
 
-// checkLabels checks the characters and the lengths of a name's labels, and reports whether it has upper-case letters.
+// checkLabels checks the characters and the lengths of a name's labels. It reports whether the name has upper-case letters.
 func checkLabels(host, raw string) (hasUpper bool, err error) {
 	length := 0
 	for i := 0; i < len(host); i++ {
@@ -217,16 +226,16 @@
 			hasUpper = true
 		case 'a' <= c && c <= 'z' || '0' <= c && c <= '9' || c == '-' || c == '_':
 		default:
-			return false, fmt.Errorf("host: byte %#02x", c)
+			return false, fmt.Errorf("host: byte %#02x is not allowed", c)
 		}
 		if length++; length > maxLabelLength {
-			return false, fmt.Errorf("host: a label of over 63 bytes in %.60q", raw)
+			return false, fmt.Errorf("host: a label is longer than 63 bytes in %.60q", raw)
 		}
 	}
 	return hasUpper, nil
 }
 
-// isPort reports whether text is a port, or empty, which stands for none (RFC 3986, 3.2.3).
+// isPort reports whether text is a port number or empty. An empty one stands for no port (RFC 3986, 3.2.3).
 func isPort(text string) bool {
 	n := 0
 	for i := 0; i < len(text); i++ {
--- a/internal/gateway/route/rule.go
+++ b/internal/gateway/route/rule.go
@@ -1,21 +1,24 @@
-// Package route finds the rule for a request. A Table is compiled once, is immutable and may be used by any goroutine; a look-up does no
-// I/O and usually allocates nothing.
+// Package route finds the rule for a request. A Table is compiled once, is immutable and is safe for concurrent use. A
+// look-up does no I/O and usually allocates nothing.
 //
 // # Precedence
 //
-// Of all rules that match a request the best one is used, whatever their order in the file. The precedence is that of the Kubernetes Gateway
-// API (HTTPRouteRule), with templates between exact paths and prefixes, and is total. Better is, in this order:
+// Of all rules that match a request, the one with the highest precedence is used, whatever the order of the rules in the
+// file. The precedence is that of the Kubernetes Gateway API (HTTPRouteRule), with templates between exact paths and
+// prefixes. It is a total order. These criteria are compared in turn, the preferred value first:
 //
-//  1. a host named exactly, then the longer suffix ("*.a.example" before "*.example"), then any host
-//  2. an exact path, then a template, then the longer prefix. Of two templates: at the first segment in which they
-//     differ, a literal before a variable
-//  3. a method named
+//  1. an exact host, then the longer suffix ("*.a.example" before "*.example"), then any host
+//  2. an exact path, then a template, then the longer prefix. Two templates are compared at the first segment in which they
+//     differ, where a literal precedes a variable.
+//  3. a match that names a method
 //  4. more headers
 //  5. more query parameters
-//  6. a class named, 7. a tenant named, 8. a listener named
-//  9. the rule's name in byte order, then the earlier of its matches
+//  6. a match that names a class
+//  7. a match that names a tenant
+//  8. a match that names a listener
+//  9. the rule's name in byte order, then the earlier match of the rule
 //
-// Two matches that differ in the names of their rules alone are an error of Compile: the second would never be found.
+// Compile reports an error for two matches that differ only in the names of their rules, as the second would never be found.
 package route
 
 import (
@@ -33,114 +36,115 @@
 // PathKind is how a path is matched.
 type PathKind uint8
 
-// The kinds of path, in increasing precedence.
+// The kinds of path match, in increasing precedence.
 const (
-	Prefix   PathKind = iota // whole segments: "/a" matches "/a" and "/a/b", not "/ab"
-	Template                 // as many segments; "{name}" matches one that is not empty
-	Exact
+	Prefix   PathKind = iota // compares whole segments: "/a" matches "/a" and "/a/b", but not "/ab"
+	Template                 // same number of segments; "{name}" matches any segment that is not empty
+	Exact                    // the whole path
 )
 
-// Path is a path to match. The zero value matches any.
+// Path is a condition on the path of a request. The zero value matches any path.
 type Path struct {
 	Kind    PathKind
 	Pattern string
 }
 
-// Value is a header or a query parameter to match.
+// Value is a condition on a header or a query parameter.
 type Value struct {
 	Name     string
 	Value    string
-	AnyValue bool // whatever its value
+	AnyValue bool // matches any value
 }
 
-// Match is a conjunction of conditions; an empty one matches anything.
+// Match is a conjunction of conditions. An empty one matches any request.
 type Match struct {
 	Listeners []string
-	Hosts     []string // "name", "*.suffix" (one label more or several) or "*"
+	Hosts     []string // "name", "*.suffix" (with one or more labels in place of "*") or "*" (any host)
 	Path      Path
 	Methods   []string
-	// A header that occurs several times matches with AnyValue alone: implementations differ in which one they use.
+	// A header that occurs several times matches only with AnyValue, because implementations differ in which value they use.
 	Headers []Value
-	Query   []Value // the first value of a parameter counts
+	Query   []Value // only the first value of a parameter is compared
 	Class   string
 	Tenant  string
 }
 
-// Target is a cluster with its weight in a split.
+// Target is a cluster and its weight in a split.
 type Target struct {
 	Cluster string
 	Weight  uint32
 }
 
-// SplitKind says which key a split uses.
+// SplitKind is the kind of key by which a rule splits requests over its targets.
 type SplitKind uint8
 
-// The kinds of split. Requests with an idempotency key are always split by that key: a retry must go to the same cluster.
+// The kinds of split. Requests with an idempotency key are always split by that key, because a retry must go to the same
+// cluster.
 const (
-	SplitRequest SplitKind = iota // the request's ID
+	SplitRequest SplitKind = iota // the ID of the request
 	SplitHeader
 	SplitTenant
 	SplitPath
-	SplitClient // the client's address
+	SplitClient // the address of the client
 )
 
-// Response is a response that a route gives itself.
+// Response is a fixed response that the gateway sends without forwarding the request.
 type Response struct {
 	Status int
 	Body   string
 	Header map[string]string
 }
 
-// Redirect redirects the client. An empty field keeps that of the request.
+// Redirect redirects the client. Where a field is empty, the request's value is kept.
 type Redirect struct {
 	Status int
 	Scheme string
 	Host   string
-	Path   string // in place of the whole path
+	Path   string // replaces the whole path
 }
 
-// Rule is a route. Exactly one of Targets, Respond and Redirect is set.
+// Rule is a routing rule. Exactly one of Targets, Respond and Redirect is set.
 type Rule struct {
 	Name    string
-	Matches []Match // one must match; none matches all requests
+	Matches []Match // at least one must match; an empty list matches all requests
 
 	Targets  []Target
 	Respond  *Response
 	Redirect *Redirect
 
-	Class         string        // of all its requests; empty: that of the request's header
-	Timeout       time.Duration // 0: the class's deadline
-	MaxAttempts   int           // 0: the cluster's
-	Failover      string        // cluster for requests that did not run in their own
-	ForwardSites  []string      // sites for requests that this one cannot serve
+	Class         string        // class of all requests of the rule; empty: the class in the request's header
+	Timeout       time.Duration // 0: the deadline of the class
+	MaxAttempts   int           // 0: the bound of the cluster
+	Failover      string        // cluster for requests that did not run in the cluster that was picked
+	ForwardSites  []string      // sites for requests that the local site cannot serve
 	SplitBy       SplitKind
-	SplitHeader   string
-	Rewrite       *string // in place of the matched prefix, or of the whole exact path
+	SplitHeader   string  // name of the header, for the kind SplitHeader
+	Rewrite       *string // replaces the matched prefix, or the whole path of an exact match
 	SetHeaders    map[string]string
 	RemoveHeaders []string
 
-	totalWeight uint64
+	totalWeight uint64 // sum of the weights of Targets
 }
 
-// Pick returns the cluster that a split picks for a key. It is the same in all processes, and after a change of weights it changes for the
-// necessary fraction of the keys alone.
+// Pick returns the cluster to which the split assigns a key. All processes return the same cluster. A change of weights
+// changes the cluster of only as many keys as necessary.
 func (r *Rule) Pick(key string) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Cluster
 	}
-	at, _ := bits.Mul64(hash(key), r.totalWeight)
+	position, _ := bits.Mul64(hashKey(key), r.totalWeight)
 	for i := range r.Targets {
 		w := uint64(r.Targets[i].Weight)
-		if at < w {
+		if position < w {
 			return r.Targets[i].Cluster
 		}
-		at -= w
+		position -= w
 	}
-	panic("route: weights do not sum up") // total is their sum
+	panic("route: totalWeight is larger than the sum of the weights") // cannot happen: checkAction sets it to the sum
 }
 
-// hash is FNV-1a, spread over all bits by the finaliser of splitmix64.
-func hash(s string) uint64 {
+// hashKey returns the FNV-1a hash of s, mixed by the finaliser of splitmix64 so that all bits depend on the whole key.
+func hashKey(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
 		h = (h ^ uint64(s[i])) * 1099511628211
@@ -150,7 +154,8 @@
 	return h ^ h>>31
 }
 
-// Path returns the path with which a request of this rule is forwarded. Matched is the path of the match.
+// Path returns the path with which a request of this rule is forwarded. The argument matched is the path condition that the
+// request matched.
 func (r *Rule) Path(path string, matched Path) string {
 	if r.Rewrite == nil {
 		return path
@@ -165,7 +170,8 @@
 	return "/"
 }
 
-// check reports what is wrong with a rule by itself, and normalises its texts.
+// check returns the first error in a rule, regardless of the other rules. It brings header names, hosts and paths into their
+// canonical forms.
 func (r *Rule) check() error {
 	if err := r.checkAction(); err != nil {
 		return err
@@ -173,7 +179,7 @@
 	if err := r.checkRewrite(); err != nil {
 		return err
 	}
-	r.SetHeaders = canonical(r.SetHeaders)
+	r.SetHeaders = canonicalHeaders(r.SetHeaders)
 	r.RemoveHeaders = slices.Clone(r.RemoveHeaders)
 	for i, name := range r.RemoveHeaders {
 		r.RemoveHeaders[i] = textproto.CanonicalMIMEHeaderKey(name)
@@ -190,7 +196,7 @@
 	return nil
 }
 
-// checkAction checks that a rule has exactly one of targets, response and redirect.
+// checkAction checks that a rule has exactly one of targets, response and redirect. It sets totalWeight.
 func (r *Rule) checkAction() error {
 	actions := 0
 	for _, isSet := range []bool{len(r.Targets) > 0, r.Respond != nil, r.Redirect != nil} {
@@ -213,6 +219,7 @@
 	return nil
 }
 
+// checkRewrite checks that the rewritten path is canonical and that no match is a template.
 func (r *Rule) checkRewrite() error {
 	if r.Rewrite == nil {
 		return nil
@@ -229,7 +236,8 @@
 	return nil
 }
 
-func canonical(h map[string]string) map[string]string {
+// canonicalHeaders returns a copy of a map of headers with canonical names.
+func canonicalHeaders(h map[string]string) map[string]string {
 	out := maps.Clone(h)
 	for name, value := range h {
 		delete(out, name)
@@ -238,7 +246,8 @@
 	return out
 }
 
-// check reports what is wrong with a match, and normalises its texts.
+// check returns the first error in a match. It brings header names, hosts and paths into their canonical forms and sorts
+// lists.
 func (m *Match) check() error {
 	if m.Path.Pattern == "" {
 		m.Path = Path{Prefix, "/"}
@@ -263,6 +272,7 @@
 	return nil
 }
 
+// checkHosts checks, normalises and sorts the hosts of a match. No host stands for any host.
 func (m *Match) checkHosts() error {
 	m.Hosts = slices.Clone(m.Hosts)
 	for i, h := range m.Hosts {
@@ -287,7 +297,7 @@
 	return nil
 }
 
-// checkValues orders values by name, each of which may occur once.
+// checkValues sorts values by name, and checks that no name is empty or occurs twice.
 func checkValues(values []Value) error {
 	slices.SortFunc(values, func(a, b Value) int { return strings.Compare(a.Name, b.Name) })
 	for i := range values {
@@ -298,7 +308,7 @@
 	return nil
 }
 
-// check reports what is wrong with a path, and normalises a prefix.
+// check returns the first error in a path condition. It removes the slash at the end of a prefix.
 func (p *Path) check() error {
 	if p.Kind == Template {
 		for segment := range strings.SplitSeq(strings.TrimPrefix(p.Pattern, "/"), "/") {
@@ -328,14 +338,15 @@
 	return nil
 }
 
+// isVariable reports whether a segment of a template is a variable, "{name}".
 func isVariable(segment string) bool {
 	return len(segment) > 2 && segment[0] == '{' && segment[len(segment)-1] == '}' && !strings.ContainsAny(segment[1:len(segment)-1], "{}")
 }
 
-// Request holds what rules match. Host and Path are in canonical form.
+// Request holds the parts of a request that rules match. Host and Path are in canonical form.
 type Request struct {
 	Listener, Host, Path, Method string
 	Class, Tenant                string
 	Header                       http.Header
-	Query                        string // raw
+	Query                        string // raw query, as it stands in the request target
 }
--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -10,20 +10,21 @@
 	"strings"
 )
 
-// Table holds the compiled rules. It is immutable.
+// Table holds the compiled rules of all listeners. It is immutable.
 type Table struct {
 	listeners map[string]*hostTable
-	rules     int
+	rules     int // number of rules
 }
 
 // hostTable holds the rules of one listener.
 type hostTable struct {
 	exact  map[string]*pathTable
-	suffix map[string]*pathTable // by what follows "*."
-	any    *pathTable
+	suffix map[string]*pathTable // by the text after "*."
+	any    *pathTable            // for the host "*"
 }
 
-// pathTable holds the rules of one host. Exact paths are found by one look-up, the other kinds by walking the segments.
+// pathTable holds the rules of one host. An exact path is found by one map look-up. Templates and prefixes are found by a
+// walk through a trie of path segments.
 type pathTable struct {
 	exact     map[string][]*entry
 	templates *node
@@ -34,24 +35,24 @@
 type node struct {
 	literal  map[string]*node
 	variable *node
-	entries  []*entry // whose path ends here, best first
+	entries  []*entry // matches whose path ends at this node, best first
 }
 
 // entry is one match of a rule.
 type entry struct {
 	rule          *Rule
 	match         *Match
-	index         int
-	namesListener bool // names its listener
+	index         int  // of the match in its rule
+	namesListener bool // the match names its listeners
 }
 
 // MatchedRule is the result of a look-up.
 type MatchedRule struct {
 	Rule *Rule
-	Path Path // of the match
+	Path Path // path condition that matched
 }
 
-// Error is what is wrong with one rule.
+// Error is an error in one rule.
 type Error struct {
 	Rule string
 	Err  error
@@ -61,8 +62,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Compile builds a table for the named listeners. The caller must not change the rules afterwards. It reports all errors; with any there is
-// no table.
+// Compile builds a table for the named listeners. The caller must not change the rules afterwards. If rules are invalid,
+// Compile returns their errors and no table.
 func Compile(listeners []string, rules []Rule) (*Table, []*Error) {
 	t := &Table{listeners: make(map[string]*hostTable, len(listeners)), rules: len(rules)}
 	for _, name := range listeners {
@@ -92,7 +93,7 @@
 	}
 	for _, h := range t.listeners {
 		if errs = append(errs, h.sort()...); len(errs) > 0 {
-			return nil, errs // the other listeners would mostly say the same
+			return nil, errs // the other listeners mostly have the same errors
 		}
 	}
 	return t, nil
@@ -101,25 +102,27 @@
 // Len returns the number of rules.
 func (t *Table) Len() int { return t.rules }
 
-func (t *Table) add(r *Rule, j int, all []string) error {
-	m := &r.Matches[j]
-	e := &entry{rule: r, match: m, index: j, namesListener: len(m.Listeners) > 0}
-	on := all
+// add inserts one match of a rule into the tables of its listeners, or of all listeners if it names none.
+func (t *Table) add(r *Rule, matchIndex int, allListeners []string) error {
+	m := &r.Matches[matchIndex]
+	e := &entry{rule: r, match: m, index: matchIndex, namesListener: len(m.Listeners) > 0}
+	listeners := allListeners
 	if e.namesListener {
-		on = slices.Compact(slices.Sorted(slices.Values(m.Listeners)))
+		listeners = slices.Compact(slices.Sorted(slices.Values(m.Listeners)))
 	}
-	for _, listener := range on {
+	for _, listener := range listeners {
 		h := t.listeners[listener]
 		if h == nil {
 			return fmt.Errorf("no listener is named %q", listener)
 		}
 		for _, name := range m.Hosts {
-			h.pathsFor(name).add(e)
+			h.pathsFor(name).insert(e)
 		}
 	}
 	return nil
 }
 
+// pathsFor returns the path table of a host or host suffix. It creates the table if there is none.
 func (h *hostTable) pathsFor(name string) *pathTable {
 	if name == "*" {
 		if h.any == nil {
@@ -127,17 +130,18 @@
 		}
 		return h.any
 	}
-	by, name, key := h.exact, name, name
+	tables, name, key := h.exact, name, name
 	if suffix, wild := strings.CutPrefix(name, "*."); wild {
-		by, key = h.suffix, suffix
+		tables, key = h.suffix, suffix
 	}
-	if by[key] == nil {
-		by[key] = &pathTable{}
+	if tables[key] == nil {
+		tables[key] = &pathTable{}
 	}
-	return by[key]
+	return tables[key]
 }
 
-func (p *pathTable) add(e *entry) {
+// insert adds an entry by the kind of its path.
+func (p *pathTable) insert(e *entry) {
 	pattern := e.match.Path.Pattern
 	switch e.match.Path.Kind {
 	case Exact:
@@ -162,6 +166,7 @@
 	}
 }
 
+// insert adds an entry at the node of a path. If variables is true, segments of the form "{name}" are variables.
 func (n *node) insert(path string, variables bool, e *entry) {
 	for more := true; more; {
 		var segment string
@@ -186,11 +191,11 @@
 	n.entries = append(n.entries, e)
 }
 
-// sort orders the entries of each path, and reports those that are alike.
+// sort sorts the entries of each path by precedence. It returns an error for each entry with the same criteria as another.
 func (h *hostTable) sort() (errs []*Error) {
 	all := make([]*pathTable, 0, len(h.exact)+len(h.suffix)+1)
-	for _, by := range []map[string]*pathTable{h.exact, h.suffix} {
-		for _, p := range by {
+	for _, tables := range []map[string]*pathTable{h.exact, h.suffix} {
+		for _, p := range tables {
 			all = append(all, p)
 		}
 	}
@@ -207,6 +212,7 @@
 	return errs
 }
 
+// sort sorts the entries of a node and of its descendants.
 func (n *node) sort() (errs []*Error) {
 	if n == nil {
 		return nil
@@ -218,7 +224,8 @@
 	return errs
 }
 
-// sortEntries sorts entries with the same host and path, best first.
+// sortEntries sorts entries with the same host and path, best first. It returns an error for each entry with the same criteria
+// as a better one.
 func sortEntries(entries []*entry) (errs []*Error) {
 	slices.SortFunc(entries, func(a, b *entry) int {
 		return cmp.Or(a.compare(b), cmp.Compare(a.rule.Name, b.rule.Name), cmp.Compare(a.index, b.index))
@@ -229,9 +236,9 @@
 	seen := make(map[string]*entry, len(entries))
 	for _, e := range entries {
 		criteria := e.criteria()
-		if a := seen[criteria]; a != nil {
+		if other := seen[criteria]; other != nil {
 			errs = append(errs, &Error{e.rule.Name, fmt.Errorf("matches exactly what route %q does (%s): it would never be found",
-				a.rule.Name, e.match.Path.Pattern)})
+				other.rule.Name, e.match.Path.Pattern)})
 			continue
 		}
 		seen[criteria] = e
@@ -239,33 +246,35 @@
 	return errs
 }
 
-// criteria returns all conditions of a match except host and path.
+// criteria returns a text that is the same for two matches if all their conditions except host and path are the same. Of the
+// listeners, only whether the match names any is included.
 func (e *entry) criteria() string {
 	m := e.match
-	return fmt.Sprintf("%q %q %q %q %q %t", m.Methods, quoted(m.Headers), quoted(m.Query), m.Class, m.Tenant, e.namesListener)
+	return fmt.Sprintf("%q %q %q %q %q %t", m.Methods, flattenValues(m.Headers), flattenValues(m.Query), m.Class, m.Tenant, e.namesListener)
 }
 
-func flag(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// compare ranks two entries at one place: negative where e is better.
-func (e *entry) compare(o *entry) int {
-	a, b := e.match, o.match
+// compare compares the precedence of two entries with the same host and path. It is negative if e is better than other.
+func (e *entry) compare(other *entry) int {
+	a, b := e.match, other.match
 	return cmp.Or(
-		flag(len(b.Methods) > 0)-flag(len(a.Methods) > 0),
+		boolToInt(len(b.Methods) > 0)-boolToInt(len(a.Methods) > 0),
 		len(b.Headers)-len(a.Headers),
 		len(b.Query)-len(a.Query),
-		flag(b.Class != "")-flag(a.Class != ""),
-		flag(b.Tenant != "")-flag(a.Tenant != ""),
-		flag(o.namesListener)-flag(e.namesListener),
+		boolToInt(b.Class != "")-boolToInt(a.Class != ""),
+		boolToInt(b.Tenant != "")-boolToInt(a.Tenant != ""),
+		boolToInt(other.namesListener)-boolToInt(e.namesListener),
 	)
 }
 
-// Find returns the best rule for a request; ok is false where none matches.
+// Find returns the rule with the highest precedence that matches a request. If no rule matches, ok is false.
 func (t *Table) Find(q *Request) (f MatchedRule, ok bool) {
 	h := t.listeners[q.Listener]
 	if h == nil {
@@ -291,6 +300,7 @@
 	return MatchedRule{e.rule, e.match.Path}, true
 }
 
+// find returns the best entry that matches a request, nil if there is none.
 func (p *pathTable) find(q *Request) *entry {
 	if p == nil {
 		return nil
@@ -312,8 +322,8 @@
 	return nil
 }
 
-// findTemplate finds an entry that matches all segments. A literal is tried before a variable. Each node has one parent, so that a look-up
-// visits none twice.
+// findTemplate finds an entry whose template matches all segments. A literal is tried before a variable. Each node has one
+// parent, so that a look-up visits no node twice.
 func (n *node) findTemplate(rest string, more bool, q *Request) *entry {
 	if !more {
 		return firstMatch(n.entries, q)
@@ -330,7 +340,7 @@
 	return nil
 }
 
-// findPrefix finds an entry that matches the most segments.
+// findPrefix finds the entry whose prefix matches the most segments.
 func (n *node) findPrefix(rest string, more bool, q *Request) *entry {
 	if more && n.literal != nil {
 		segment, rest, more := strings.Cut(rest, "/")
@@ -343,6 +353,7 @@
 	return firstMatch(n.entries, q)
 }
 
+// firstMatch returns the first entry whose conditions a request meets, nil if there is none.
 func firstMatch(entries []*entry, q *Request) *entry {
 	for _, e := range entries {
 		if e.match.matches(q) {
@@ -352,7 +363,7 @@
 	return nil
 }
 
-// matches checks all conditions except listener, host and path.
+// matches reports whether a request meets all conditions of m except listener, host and path.
 func (m *Match) matches(q *Request) bool {
 	if len(m.Methods) > 0 && !slices.Contains(m.Methods, q.Method) ||
 		m.Class != "" && m.Class != q.Class || m.Tenant != "" && m.Tenant != q.Tenant {
@@ -367,29 +378,31 @@
 	}
 	for i := range m.Query {
 		want := &m.Query[i]
-		value, there := parameter(q.Query, want.Name)
-		if !there || !want.AnyValue && value != want.Value {
+		value, found := queryParameter(q.Query, want.Name)
+		if !found || !want.AnyValue && value != want.Value {
 			return false
 		}
 	}
 	return true
 }
 
-// parameter returns the first value of a parameter in a raw query. It allocates only for what is encoded.
-func parameter(query, name string) (value string, there bool) {
+// queryParameter returns the first value of a parameter in a raw query. It allocates only for names and values that are
+// encoded.
+func queryParameter(query, name string) (value string, found bool) {
 	for query != "" {
 		var pair string
 		pair, query, _ = strings.Cut(query, "&")
 		key, value, _ := strings.Cut(pair, "=")
-		if plainQuery(key) != name {
+		if unescapeQuery(key) != name {
 			continue
 		}
-		return plainQuery(value), true
+		return unescapeQuery(value), true
 	}
 	return "", false
 }
 
-func plainQuery(s string) string {
+// unescapeQuery decodes a name or value of a query. It returns an invalid encoding unchanged.
+func unescapeQuery(s string) string {
 	if strings.IndexByte(s, '%') < 0 && strings.IndexByte(s, '+') < 0 {
 		return s
 	}
@@ -399,7 +412,8 @@
 	return s
 }
 
-func quoted(values []Value) (out []string) {
+// flattenValues returns the fields of all values in one list.
+func flattenValues(values []Value) (out []string) {
 	for _, v := range values {
 		out = append(out, v.Name, v.Value, strconv.FormatBool(v.AnyValue))
 	}
--- a/internal/gateway/route/table_test.go
+++ b/internal/gateway/route/table_test.go
@@ -11,14 +11,15 @@
 	"testing"
 )
 
-// The plain matcher: looks at every match of every rule, and ranks by the words of the package's comment, not by the
-// table's code.
+// The reference matcher tries every match of every rule. It ranks matches by the precedence in the package comment, without
+// the code of Table.
 
-func plainFits(m Match, q *Request) bool {
+// referenceMatches reports whether a request meets all conditions of a match.
+func referenceMatches(m Match, q *Request) bool {
 	if len(m.Listeners) > 0 && !slices.Contains(m.Listeners, q.Listener) {
 		return false
 	}
-	if plainHost(m, q) == "" {
+	if referenceHost(m, q) == "" {
 		return false
 	}
 	switch p := m.Path.Pattern; m.Path.Kind {
@@ -27,15 +28,15 @@
 			return false
 		}
 	case Template:
-		want, is := strings.Split(p, "/"), strings.Split(q.Path, "/")
-		if len(want) != len(is) {
+		want, segments := strings.Split(p, "/"), strings.Split(q.Path, "/")
+		if len(want) != len(segments) {
 			return false
 		}
 		for i := range want {
-			if strings.HasPrefix(want[i], "{") && is[i] != "" {
+			if strings.HasPrefix(want[i], "{") && segments[i] != "" {
 				continue
 			}
-			if want[i] != is[i] {
+			if want[i] != segments[i] {
 				return false
 			}
 		}
@@ -49,7 +50,7 @@
 		return false
 	}
 	for _, v := range m.Headers {
-		if is := q.Header.Values(v.Name); len(is) == 0 || !v.AnyValue && (len(is) > 1 || is[0] != v.Value) {
+		if values := q.Header.Values(v.Name); len(values) == 0 || !v.AnyValue && (len(values) > 1 || values[0] != v.Value) {
 			return false
 		}
 	}
@@ -62,8 +63,8 @@
 	return true
 }
 
-// plainHost returns the best of a match's hosts for a request.
-func plainHost(m Match, q *Request) (best string) {
+// referenceHost returns the best host of a match that fits a request, empty if none does.
+func referenceHost(m Match, q *Request) (best string) {
 	if len(m.Hosts) == 0 {
 		return "*"
 	}
@@ -77,6 +78,7 @@
 	return best
 }
 
+// hostRank returns the precedence of a host. Ranks are compared from the left, and the greater one is better.
 func hostRank(h string) []int {
 	switch {
 	case h == "*":
@@ -87,14 +89,15 @@
 	return []int{2, 0}
 }
 
-// plainRank is a match's rank as a list that compares from the left, more being better.
-func plainRank(m Match, q *Request) []int {
-	rank := hostRank(plainHost(m, q))
+// referenceRank returns the precedence of a match for a request. Ranks are compared from the left, and the greater one is
+// better.
+func referenceRank(m Match, q *Request) []int {
+	rank := hostRank(referenceHost(m, q))
 	rank = append(rank, int(m.Path.Kind))
 	if m.Path.Kind == Prefix {
 		rank = append(rank, len(strings.Trim(m.Path.Pattern, "/")))
 	} else {
-		literal := 0 // each segment a bit: with as many segments the first literal counts most
+		literal := 0 // one bit for each segment: among paths of equal length the first literal counts most
 		for s := range strings.SplitSeq(m.Path.Pattern, "/") {
 			literal <<= 1
 			if !strings.HasPrefix(s, "{") {
@@ -113,7 +116,8 @@
 		bit(len(m.Listeners) > 0))
 }
 
-func plainFind(rules []Rule, q *Request) string {
+// referenceFind returns the name of the best rule for a request, empty if no rule matches.
+func referenceFind(rules []Rule, q *Request) string {
 	best, name, index := []int(nil), "", 0
 	for _, r := range rules {
 		matches := r.Matches
@@ -121,10 +125,10 @@
 			matches = []Match{{}}
 		}
 		for j, m := range matches {
-			if !plainFits(m, q) {
+			if !referenceMatches(m, q) {
 				continue
 			}
-			rank := plainRank(m, q)
+			rank := referenceRank(m, q)
 			c := slices.Compare(rank, best)
 			if best == nil || c > 0 || c == 0 && (r.Name < name || r.Name == name && j < index) {
 				best, name, index = rank, r.Name, j
@@ -134,15 +138,17 @@
 	return name
 }
 
-// drawn makes rules out of few words, so that many match alike or nearly so.
-type drawn struct{ *rand.Rand }
+// generator draws random rules and requests from few words, so that many rules match the same or nearly the same requests.
+type generator struct{ *rand.Rand }
 
-func (d drawn) of(words ...string) string { return words[d.IntN(len(words))] }
+// oneOf returns one of the words.
+func (d generator) oneOf(words ...string) string { return words[d.IntN(len(words))] }
 
-func (d drawn) path(variables bool) string {
+// path returns a path, with variables if they are allowed.
+func (d generator) path(variables bool) string {
 	p := ""
 	for range d.IntN(4) {
-		p += "/" + d.of("a", "b", "c")
+		p += "/" + d.oneOf("a", "b", "c")
 		if variables && d.IntN(2) == 0 {
 			p += "/{x}"
 		}
@@ -153,13 +159,14 @@
 	return p
 }
 
-func (d drawn) match() Match {
+// match returns a match with random conditions.
+func (d generator) match() Match {
 	var m Match
 	if d.IntN(3) == 0 {
-		m.Listeners = []string{d.of("one", "two")}
+		m.Listeners = []string{d.oneOf("one", "two")}
 	}
 	for range d.IntN(3) {
-		m.Hosts = append(m.Hosts, d.of("*", "a.x", "b.a.x", "*.x", "*.a.x", "A.X"))
+		m.Hosts = append(m.Hosts, d.oneOf("*", "a.x", "b.a.x", "*.x", "*.a.x", "A.X"))
 	}
 	switch d.IntN(3) {
 	case 0:
@@ -170,41 +177,43 @@
 		m.Path = Path{Prefix, strings.TrimSuffix(d.path(false), "/")}
 	}
 	if d.IntN(2) == 0 {
-		m.Methods = []string{d.of("GET", "POST")}
+		m.Methods = []string{d.oneOf("GET", "POST")}
 	}
 	for _, name := range []string{"x-one", "X-Two"} {
 		if d.IntN(4) == 0 {
-			m.Headers = append(m.Headers, Value{name, d.of("1", "2"), d.IntN(2) == 0})
+			m.Headers = append(m.Headers, Value{name, d.oneOf("1", "2"), d.IntN(2) == 0})
 		}
 	}
 	if d.IntN(4) == 0 {
-		m.Query = []Value{{"q", d.of("1", "a b"), d.IntN(2) == 0}}
+		m.Query = []Value{{"q", d.oneOf("1", "a b"), d.IntN(2) == 0}}
 	}
 	if d.IntN(5) == 0 {
-		m.Class = d.of("read", "write")
+		m.Class = d.oneOf("read", "write")
 	}
 	if d.IntN(5) == 0 {
-		m.Tenant = d.of("acme", "other")
+		m.Tenant = d.oneOf("acme", "other")
 	}
 	return m
 }
 
-func (d drawn) request() *Request {
-	q := &Request{Listener: d.of("one", "two"), Host: d.of("a.x", "b.a.x", "c.b.a.x", "x", "y", ""), Path: d.path(false),
-		Method: d.of("GET", "POST"), Class: d.of("", "read", "write"), Tenant: d.of("", "acme", "other"), Header: http.Header{},
-		Query: d.of("", "q=1", "q=a+b", "q=a%20b&q=1", "r=1&q", "%71=1")}
+// request returns a request that random matches often fit.
+func (d generator) request() *Request {
+	q := &Request{Listener: d.oneOf("one", "two"), Host: d.oneOf("a.x", "b.a.x", "c.b.a.x", "x", "y", ""), Path: d.path(false),
+		Method: d.oneOf("GET", "POST"), Class: d.oneOf("", "read", "write"), Tenant: d.oneOf("", "acme", "other"), Header: http.Header{},
+		Query: d.oneOf("", "q=1", "q=a+b", "q=a%20b&q=1", "r=1&q", "%71=1")}
 	for _, name := range []string{"X-One", "X-Two"} {
 		for range d.IntN(3) {
-			q.Header.Add(name, d.of("1", "2"))
+			q.Header.Add(name, d.oneOf("1", "2"))
 		}
 	}
 	return q
 }
 
-// The table finds what the plain matcher finds, whatever the rules and wherever they stand in the file.
-func TestPrecedence(t *testing.T) {
-	d := drawn{rand.New(rand.NewPCG(7, 11))}
-	found, alike := 0, 0
+// TestFindAgreesWithReferenceMatcher checks that Find returns the same rule as the reference matcher for random rules and
+// requests, whatever the order of the rules.
+func TestFindAgreesWithReferenceMatcher(t *testing.T) {
+	d := generator{rand.New(rand.NewPCG(7, 11))}
+	found, duplicates := 0, 0
 	for round := range 400 {
 		var rules []Rule
 		for i := range 1 + d.IntN(24) {
@@ -221,7 +230,7 @@
 					t.Fatal(err)
 				}
 			}
-			alike++
+			duplicates++
 			continue
 		}
 		shuffled := slices.Clone(rules)
@@ -229,14 +238,14 @@
 		other, _ := Compile([]string{"one", "two"}, shuffled)
 		for range 100 {
 			q := d.request()
-			want := plainFind(rules, q)
+			want := referenceFind(rules, q)
 			for _, table := range []*Table{table, other} {
 				got := ""
 				if f, ok := table.Find(q); ok {
 					got = f.Rule.Name
 				}
 				if got != want {
-					t.Fatalf("round %d: %+v found %q, want %q, of %+v", round, *q, got, want, rules)
+					t.Fatalf("round %d: request %+v found rule %q, want %q, of %+v", round, *q, got, want, rules)
 				}
 			}
 			if want != "" {
@@ -244,12 +253,14 @@
 			}
 		}
 	}
-	if found < 1000 || alike < 10 || alike > 390 {
-		t.Errorf("the draw tests little: %d found, %d alike", found, alike)
+	if found < 1000 || duplicates < 10 || duplicates > 390 {
+		t.Errorf("random rules cover too little: %d requests found a rule, %d rule sets were rejected for duplicate matches", found, duplicates)
 	}
 }
 
-func TestCompileErrors(t *testing.T) {
+// TestCompileReportsInvalidRules checks the error for each kind of invalid rule, and that Compile returns the errors of all
+// rules.
+func TestCompileReportsInvalidRules(t *testing.T) {
 	ok := &Response{Status: 204}
 	for want, rules := range map[string][]Rule{
 		"never be found":       {{Name: "a", Respond: ok}, {Name: "b", Respond: ok, Matches: []Match{{Path: Path{Prefix, "/"}}}}},
@@ -271,16 +282,17 @@
 		}
 		table, errs := Compile([]string{"one"}, rules)
 		if table != nil || len(errs) == 0 || !strings.Contains(fmt.Sprint(errs), want) {
-			t.Errorf("want %q: %v", want, errs)
+			t.Errorf("want an error that contains %q, got %v", want, errs)
 		}
 	}
 	if _, errs := Compile(nil, []Rule{{Name: "a"}, {Name: "b"}}); len(errs) != 2 {
-		t.Errorf("not all errors are told: %v", errs)
+		t.Errorf("want an error for each of two invalid rules, got %v", errs)
 	}
 }
 
-// A change of weights moves only the share of keys that must move, and no process draws otherwise than another.
-func TestSplit(t *testing.T) {
+// TestWeightChangeMovesFewestKeys checks that a change of weights moves only the necessary share of the keys. Known keys must
+// always get the same targets, so that all processes agree.
+func TestWeightChangeMovesFewestKeys(t *testing.T) {
 	split := func(weights ...uint32) *Rule {
 		r := Rule{Name: "a"}
 		for i, w := range weights {
@@ -298,44 +310,46 @@
 	counts := map[string]int{}
 	for i := range keys {
 		key := fmt.Sprint("key-", i)
-		was, is := before.Pick(key), after.Pick(key)
-		counts[is]++
-		if was != is {
+		oldTarget, newTarget := before.Pick(key), after.Pick(key)
+		counts[newTarget]++
+		if oldTarget != newTarget {
 			moved++
-			if was != "0" || is != "1" {
-				t.Fatalf("%s went from %s to %s", key, was, is)
+			if oldTarget != "0" || newTarget != "1" {
+				t.Fatalf("%s moved from target %s to %s, want only moves from 0 to 1", key, oldTarget, newTarget)
 			}
 		}
 	}
 	if share := float64(moved) / keys; share < 0.085 || share > 0.115 {
-		t.Errorf("%.3f of the keys moved where 0.1 must", share)
+		t.Errorf("share of moved keys is %.3f, want about 0.1", share)
 	}
 	if share := float64(counts["1"]) / keys; share < 0.18 || share > 0.22 || counts["2"] > 0 {
-		t.Errorf("split %v", counts)
+		t.Errorf("keys by target are %v, want a share of about 0.2 at target 1 and none at target 2", counts)
 	}
 	if got := split(1, 1, 1).Pick("a key known for ever") + split(1, 1, 1).Pick("another"); got != "02" {
-		t.Errorf("the split of known keys has changed: %s", got)
+		t.Errorf("targets of two known keys are %s, want 02", got)
 	}
 }
 
-func TestRewrite(t *testing.T) {
+// TestRewriteReplacesPrefixOrExactPath checks the path with which a request is forwarded. A rewrite must replace the matched
+// prefix or the whole exact path.
+func TestRewriteReplacesPrefixOrExactPath(t *testing.T) {
 	for _, c := range [][4]string{ // prefix, rewrite, path, want
 		{"/old", "/new", "/old/a", "/new/a"}, {"/old", "/new", "/old", "/new"}, {"/old", "/", "/old/a", "/a"},
 		{"/old", "/", "/old", "/"}, {"/", "/new", "/a", "/new/a"}, {"/", "/new/", "/", "/new/"}, {"/old", "/new", "/old/", "/new/"},
 	} {
 		r := Rule{Rewrite: &c[1]}
 		if got := r.Path(c[2], Path{Prefix, c[0]}); got != c[3] {
-			t.Errorf("%v: %q", c, got)
+			t.Errorf("prefix, rewrite, path and wanted path %v: got %q", c, got)
 		}
 	}
-	to := "/b"
-	if got := (&Rule{Rewrite: &to}).Path("/a", Path{Exact, "/a"}); got != "/b" {
+	rewrite := "/b"
+	if got := (&Rule{Rewrite: &rewrite}).Path("/a", Path{Exact, "/a"}); got != "/b" {
 		t.Error(got)
 	}
 }
 
-// many returns rules as a large site has them: hosts of schools, exact paths, templates and prefixes.
-func many(n int) []Rule {
+// schoolRules returns n rules like those of a large site: hosts of schools with exact paths, templates and prefixes.
+func schoolRules(n int) []Rule {
 	rules := make([]Rule, 0, n)
 	for i := range n {
 		m := Match{Hosts: []string{fmt.Sprintf("school-%d.example", i/50)}}
@@ -354,7 +368,8 @@
 	return rules
 }
 
-func target(i int) *Request {
+// requestFor returns a request that matches rule i of schoolRules.
+func requestFor(i int) *Request {
 	q := &Request{Listener: "one", Host: fmt.Sprintf("school-%d.example", i/50), Method: "GET"}
 	switch i % 4 {
 	case 0:
@@ -369,41 +384,43 @@
 	return q
 }
 
+// BenchmarkFind measures a look-up among 10, 1,000 and 100,000 rules.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, errs := Compile([]string{"one"}, many(n))
+			table, errs := Compile([]string{"one"}, schoolRules(n))
 			if table == nil {
 				b.Fatal(errs)
 			}
 			requests := make([]*Request, 4096)
 			d := rand.New(rand.NewPCG(1, 2))
 			for i := range requests {
-				requests[i] = target(d.IntN(n))
+				requests[i] = requestFor(d.IntN(n))
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				if _, ok := table.Find(requests[i%len(requests)]); !ok {
-					b.Fatal("not found")
+					b.Fatal("no rule found")
 				}
 			}
 		})
 	}
 }
 
-func TestFindAllocates(t *testing.T) {
-	table, errs := Compile([]string{"one"}, many(1000))
+// TestFindAllocatesNothing checks that a look-up of each kind of path needs no allocation and finds the right rule.
+func TestFindAllocatesNothing(t *testing.T) {
+	table, errs := Compile([]string{"one"}, schoolRules(1000))
 	if table == nil {
 		t.Fatal(errs)
 	}
 	for i := range 4 {
-		q := target(500 + i)
+		q := requestFor(500 + i)
 		if n := testing.AllocsPerRun(100, func() { table.Find(q) }); n > 0 {
-			t.Errorf("%s: %v allocations", q.Path, n)
+			t.Errorf("path %s: %v allocations, want none", q.Path, n)
 		}
 		if f, ok := table.Find(q); !ok || !reflect.DeepEqual(f.Path, f.Rule.Matches[0].Path) {
-			t.Errorf("%s: %+v", q.Path, f)
+			t.Errorf("path %s: found %+v", q.Path, f)
 		}
 	}
 }
