--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -63,7 +63,7 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Compile builds a table for the named listeners. The caller must not change the rules afterwards. If rules are invalid,
-// Compile returns their errors and no table.
+// Compile returns the errors of all rules and no table.
 func Compile(listeners []string, rules []Rule) (*Table, []*Error) {
 	t := &Table{listeners: make(map[string]*hostTable, len(listeners)), rules: len(rules)}
 	for _, name := range listeners {
--- a/internal/sites/accounting/accounting_test.go
+++ b/internal/sites/accounting/accounting_test.go
@@ -85,8 +85,8 @@
 				}
 			case 4: // a response arrives
 				for n := uint64(1); n <= sender.Sent(); n++ {
-					o, is := responses[n]
-					if !is {
+					o, responded := responses[n]
+					if !responded {
 						continue
 					}
 					delete(responses, n)
