--- a/internal/gateway/cluster/cluster.go
+++ b/internal/gateway/cluster/cluster.go
@@ -100,9 +100,9 @@
 // New starts a cluster.
 func New(c Config, r *Resources, seed uint64, log *slog.Logger) (*Cluster, error) {
 	cl := &Cluster{log: log.With("cluster", c.Name), resources: r, stop: func() {}}
-	cl.conns = r.Connections.Allocate(portion(c, r.MaxConnections))
-	cl.requests = r.Requests.Allocate(portion(c, r.MaxRequests))
-	cl.bodies = r.Bodies.Allocate(portion(c, r.MaxBodies))
+	cl.conns = r.Connections.Allocate(resourceShare(c, r.MaxConnections))
+	cl.requests = r.Requests.Allocate(resourceShare(c, r.MaxRequests))
+	cl.bodies = r.Bodies.Allocate(resourceShare(c, r.MaxBodies))
 	cl.client = upstream.NewClient(upstream.Options{DialTimeout: c.ConnectTimeout, IdleTimeout: c.IdleTimeout, HedgeDials: true, MaxConns: int(r.MaxConnections),
 		Allocation: cl.conns, AnyStatus: true, OnExhausted: r.OnExhausted})
 	var err error
@@ -115,8 +115,8 @@
 	return cl, nil
 }
 
-// portion returns a cluster's reserve and limit of a total. The limit is at least one unit.
-func portion(c Config, total int64) (reserve, most int64) {
+// resourceShare returns a cluster's reserve and limit of a total. The limit is at least one unit.
+func resourceShare(c Config, total int64) (reserve, most int64) {
 	return int64(c.ReserveFraction * float64(total)), max(int64(c.MaxFraction*float64(total)), 1)
 }
 
@@ -133,7 +133,7 @@
 	old := c.config
 	c.resources = r
 	c.mu.Unlock()
-	c.bodies.Resize(portion(next, r.MaxBodies))
+	c.bodies.Resize(resourceShare(next, r.MaxBodies))
 	if !reflect.DeepEqual(old.Sources, next.Sources) || old.EmptyHold != next.EmptyHold {
 		c.followSources(next)
 		return
@@ -165,7 +165,7 @@
 // applyLimits applies the limits of the configuration and the source. The caller holds the lock.
 func (c *Cluster) applyLimits() {
 	resize := func(s *quota.Allocation, total int64, told int) {
-		reserve, most := portion(c.config, total)
+		reserve, most := resourceShare(c.config, total)
 		if told > 0 {
 			most = min(most, int64(told))
 		}
--- a/internal/gateway/cluster/cluster_test.go
+++ b/internal/gateway/cluster/cluster_test.go
@@ -18,8 +18,8 @@
 	"silvertrail/lbpolicy"
 )
 
-// start runs a cluster with classes of each kind.
-func start(t *testing.T, c Config) *Cluster {
+// startCluster runs a cluster with classes of each kind.
+func startCluster(t *testing.T, c Config) *Cluster {
 	t.Helper()
 	class := func(e lbpolicy.Effect) lbpolicy.Class {
 		return lbpolicy.Class{LatencyObjective: 5 * time.Second, Deadline: lbtest.Wait, PriorityWeight: 1, Effect: e, Window: time.Minute}
@@ -30,7 +30,7 @@
 	if c.MaxFraction == 0 {
 		c.MaxFraction = 1
 	}
-	cl, err := New(c, NewResources(64, 64, 1<<20), 7, quiet)
+	cl, err := New(c, NewResources(64, 64, 1<<20), 7, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	return a
 }
 
-func static(addrs ...string) Source {
+func staticSource(addrs ...string) Source {
 	s := &Static{}
 	for _, a := range addrs {
 		s.Endpoints = append(s.Endpoints, endpointlist.Endpoint{Name: "at-" + a, Address: a, Zone: "a", Status: ready})
@@ -78,7 +78,7 @@
 	two := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.Write([]byte(lbtest.OK("two"))) })
 	path := filepath.Join(t.TempDir(), "list.json")
 	writeFile(t, path, `{"endpoints": [{"address": "`+two.Addr+`"}]}`)
-	c := start(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{static(one.Addr), {File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}}})
+	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{staticSource(one.Addr), {File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}}})
 	if n := len(c.Members()); n != 2 {
 		t.Fatalf("%d members", n)
 	}
@@ -135,7 +135,7 @@
 	one := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	two := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
 	d := lbtest.NewDiscovery(t, 5, one.Addr, two.Addr)
-	c := start(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{{Registry: &Registry{Address: d.Addr}}, static(one.Addr)}})
+	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{{Registry: &Registry{Address: d.Addr}}, staticSource(one.Addr)}})
 	lbtest.Until(t, "both", func() bool { return len(c.Members()) >= 2 })
 	d.Set(two.Addr)
 	lbtest.Until(t, "one gone", func() bool {
@@ -154,11 +154,11 @@
 		}
 		a.OK()
 	})
-	c := start(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{static(one.Addr)}})
+	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{staticSource(one.Addr)}})
 	get(t, c, "first")
 	next := c.config
 	path := filepath.Join(t.TempDir(), "list.json") // not there yet
-	next.Sources = []Source{{File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}, static()}
+	next.Sources = []Source{{File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}, staticSource()}
 	if !c.CanUpdate(next) {
 		t.Fatal("other sources need no other balancer")
 	}
@@ -187,7 +187,7 @@
 func TestBusy(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, nil)
-	c := start(t, Config{Name: "c", MaxFraction: 1.0 / 64, Sources: []Source{static(e.Addr)}})
+	c := startCluster(t, Config{Name: "c", MaxFraction: 1.0 / 64, Sources: []Source{staticSource(e.Addr)}})
 	first := make(chan engine.Result, 1)
 	go func() { first <- get(t, c, "first") }()
 	held := <-e.Arrivals
--- a/internal/gateway/cluster/dns_test.go
+++ b/internal/gateway/cluster/dns_test.go
@@ -14,9 +14,9 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-func nameServer(t *testing.T, answer func(q dns.Question, tcp bool) *fake.Response) *fake.NameServer {
+func startNameServer(t *testing.T, answer func(q dns.Question, tcp bool) *fake.Response) *fake.NameServer {
 	t.Helper()
 	s, err := fake.NewNameServer(answer)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return s
 }
 
-func records(lines ...string) func(dns.Question, bool) *fake.Response {
+func respondWith(lines ...string) func(dns.Question, bool) *fake.Response {
 	return func(dns.Question, bool) *fake.Response { return &fake.Response{Records: lines} }
 }
 
@@ -37,7 +37,7 @@
 		want   string // addresses, or what the error says
 		ttl    time.Duration
 	}{
-		"A and AAAA": {answer: records("p.test. 30 IN A 127.0.0.1", "P.test. 20 IN AAAA ::1", "other.test. 1 IN A 127.0.0.9"),
+		"A and AAAA": {answer: respondWith("p.test. 30 IN A 127.0.0.1", "P.test. 20 IN AAAA ::1", "other.test. 1 IN A 127.0.0.9"),
 			want: "127.0.0.1:7 [::1]:7", ttl: 20 * time.Second},
 		"alias": {answer: func(q dns.Question, _ bool) *fake.Response {
 			if q.Qtype != dns.TypeA {
@@ -47,7 +47,7 @@
 		}, want: "127.0.0.3:7", ttl: 9 * time.Second},
 		"no such name": {answer: func(dns.Question, bool) *fake.Response { return &fake.Response{Rcode: dns.RcodeNameError} },
 			want: "", ttl: 5 * time.Second},
-		"TTL 0":          {answer: records("p.test. 0 IN A 127.0.0.1"), want: "127.0.0.1:7", ttl: 0},
+		"TTL 0":          {answer: respondWith("p.test. 0 IN A 127.0.0.1"), want: "127.0.0.1:7", ttl: 0},
 		"server failure": {answer: func(dns.Question, bool) *fake.Response { return &fake.Response{Rcode: dns.RcodeServerFailure} }, want: "SERVFAIL"},
 		"half a failure": {answer: func(q dns.Question, _ bool) *fake.Response {
 			if q.Qtype == dns.TypeAAAA {
@@ -68,13 +68,13 @@
 			return &fake.Response{Records: []string{"p.test. 8 IN SRV 1 0 80 a.test.", "p.test. 8 IN SRV 1 9 81 a.test.", "p.test. 8 IN SRV 2 0 82 b.test."},
 				Extra: []string{"a.test. 6 IN A 127.0.0.5", "b.test. 1 IN A 127.0.0.6"}}
 		}, want: "127.0.0.5:80 127.0.0.5:81", ttl: 6 * time.Second},
-		"SRV without glue": {srv: true, answer: records("p.test. 8 IN SRV 1 0 80 a.test.", "a.test. 4 IN A 127.0.0.5"),
+		"SRV without glue": {srv: true, answer: respondWith("p.test. 8 IN SRV 1 0 80 a.test.", "a.test. 4 IN A 127.0.0.5"),
 			want: "127.0.0.5:80", ttl: 4 * time.Second},
-		"SRV, not there": {srv: true, answer: records("p.test. 8 IN SRV 0 0 0 ."), want: "", ttl: 5 * time.Second},
+		"SRV, not there": {srv: true, answer: respondWith("p.test. 8 IN SRV 0 0 0 ."), want: "", ttl: 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := nameServer(t, c.answer)
+			s := startNameServer(t, c.answer)
 			d := &DNS{Name: "p.test", SRV: c.srv, Port: 7, Zone: "a", Server: s.Addr}
 			entries, ttl, err := d.resolve(t.Context())
 			var got []string
@@ -98,8 +98,8 @@
 // questions; what it says again counts again.
 func TestDNSCluster(t *testing.T) {
 	t.Parallel()
-	s := nameServer(t, records("p.test. 0 IN A 127.0.0.1", "p.test. 0 IN A 127.0.0.2"))
-	c := start(t, Config{Name: "p", EmptyHold: time.Hour, Sources: []Source{{DNS: &DNS{Name: "p.test", Port: 7, Zone: "a", Server: s.Addr, unit: 20 * time.Millisecond}}}})
+	s := startNameServer(t, respondWith("p.test. 0 IN A 127.0.0.1", "p.test. 0 IN A 127.0.0.2"))
+	c := startCluster(t, Config{Name: "p", EmptyHold: time.Hour, Sources: []Source{{DNS: &DNS{Name: "p.test", Port: 7, Zone: "a", Server: s.Addr, unit: 20 * time.Millisecond}}}})
 	lbtest.Until(t, "two members", func() bool { return len(c.Members()) == 2 })
 	for name, answer := range map[string]func(dns.Question, bool) *fake.Response{
 		"empty":     func(dns.Question, bool) *fake.Response { return &fake.Response{} },
@@ -118,7 +118,7 @@
 			t.Fatalf("%s: %d members are left", name, n)
 		}
 	}
-	s.Set(records("p.test. 1 IN A 127.0.0.2", "p.test. 1 IN A 127.0.0.3"))
+	s.Set(respondWith("p.test. 1 IN A 127.0.0.2", "p.test. 1 IN A 127.0.0.3"))
 	lbtest.Until(t, "other members", func() bool {
 		m := c.Members()
 		return len(m) == 2 && m[1].Address == "127.0.0.3:7"
@@ -127,7 +127,7 @@
 
 func TestSilentNameServer(t *testing.T) {
 	t.Parallel()
-	s := nameServer(t, func(dns.Question, bool) *fake.Response { return nil })
+	s := startNameServer(t, func(dns.Question, bool) *fake.Response { return nil })
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-s.Queries(); cancel() }()
 	d := &DNS{Name: "p.test", Port: 7, Server: s.Addr}
--- a/internal/gateway/cluster/merge.go
+++ b/internal/gateway/cluster/merge.go
@@ -204,17 +204,17 @@
 	for i := range m.sources {
 		s := &m.sources[i]
 		if !s.emptySince.IsZero() {
-			next = sooner(next, s.emptySince.Add(m.emptyHold))
+			next = earlier(next, s.emptySince.Add(m.emptyHold))
 		}
 		for _, d := range s.departures {
-			next = sooner(next, d.at.Add(departureRetention))
+			next = earlier(next, d.at.Add(departureRetention))
 		}
 	}
 	return next
 }
 
-// sooner returns the earlier of two times, of which the first may be zero.
-func sooner(a, b time.Time) time.Time {
+// earlier returns the earlier of two times, of which the first may be zero.
+func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
 	}
@@ -256,9 +256,9 @@
 }
 
 // collect returns the entries of all sources by address, in the order of the sources, and their drains.
-func (m *merger) collect() (map[string][]endpointlist.Endpoint, drains) {
+func (m *merger) collect() (map[string][]endpointlist.Endpoint, drainStarts) {
 	byAddress := map[string][]endpointlist.Endpoint{}
-	drained := drains{}
+	drained := drainStarts{}
 	for i := range m.sources {
 		entries := m.sources[i].entries
 		for _, key := range slices.Sorted(maps.Keys(entries)) {
@@ -277,10 +277,10 @@
 	return byAddress, drained
 }
 
-// drains holds what drains, by name and by addressKey, with the latest start that does.
-type drains map[string]int64
+// drainStarts holds what drainStarts, by name and by addressKey, with the latest start that does.
+type drainStarts map[string]int64
 
-func (d drains) add(key string, sinceMS int64) {
+func (d drainStarts) add(key string, sinceMS int64) {
 	if sinceMS <= 0 { // without a start any start drains
 		sinceMS = math.MaxInt64
 	}
@@ -288,7 +288,7 @@
 }
 
 // covers reports whether an endpoint with a start drains.
-func (d drains) covers(key string, sinceMS int64) bool {
+func (d drainStarts) covers(key string, sinceMS int64) bool {
 	latest, ok := d[key]
 	return ok && latest >= sinceMS
 }
--- a/internal/gateway/cluster/merge_test.go
+++ b/internal/gateway/cluster/merge_test.go
@@ -10,66 +10,66 @@
 	"silvertrail/internal/base/endpointlist"
 )
 
-var t0 = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
 func named(name, status string) endpointlist.Endpoint {
 	return endpointlist.Endpoint{Name: name, Address: "10.0.0." + name + ":1", Zone: "a", Status: status}
 }
 
-func nameless(name, status string) endpointlist.Endpoint {
+func withoutName(name, status string) endpointlist.Endpoint {
 	return endpointlist.Endpoint{Address: "10.0.0." + name + ":1", Status: status}
 }
 
-// shown writes a list as "name status".
-func shown(list []endpointlist.Endpoint) (out []string) {
+// namesAndStatuses writes a list as "name status".
+func namesAndStatuses(list []endpointlist.Endpoint) (out []string) {
 	for _, e := range list {
 		out = append(out, e.Name+" "+e.Status)
 	}
 	return out
 }
 
-func wants(t *testing.T, m *merger, now time.Time, want ...string) {
+func expectMembers(t *testing.T, m *merger, now time.Time, want ...string) {
 	t.Helper()
-	if got := shown(m.members(now)); !slices.Equal(got, want) {
+	if got := namesAndStatuses(m.members(now)); !slices.Equal(got, want) {
 		t.Errorf("members %q, want %q", got, want)
 	}
 }
 
 func TestDrainHolds(t *testing.T) {
 	m := newMerger(time.Minute, sourceTraits{}, sourceTraits{})
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", ready)})
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{named("1", draining), named("2", ready)})
-	wants(t, m, t0, "1 draining", "2 ready")
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", ready)}) // once more: no news
-	m.apply(t0, 1, unreachable, nil)
-	wants(t, m, t0.Add(time.Hour), "1 draining", "2 ready")
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{named("1", ready)})
-	wants(t, m, t0, "1 ready", "2 ready")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", ready)})
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{named("1", draining), named("2", ready)})
+	expectMembers(t, m, startTime, "1 draining", "2 ready")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", ready)}) // once more: no news
+	m.apply(startTime, 1, unreachable, nil)
+	expectMembers(t, m, startTime.Add(time.Hour), "1 draining", "2 ready")
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{named("1", ready)})
+	expectMembers(t, m, startTime, "1 ready", "2 ready")
 
 	// A later process at the same name is not the one that drained.
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{{Name: "1", Address: "10.0.0.1:1", Status: draining, SinceMS: 100}})
-	wants(t, m, t0, "1 draining", "2 ready")
-	m.apply(t0, 0, changedEntries, []endpointlist.Endpoint{{Name: "1", Address: "10.0.0.1:1", Status: ready, SinceMS: 200}})
-	wants(t, m, t0, "1 ready", "2 ready")
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{{Name: "1", Address: "10.0.0.1:1", Status: draining, SinceMS: 100}})
+	expectMembers(t, m, startTime, "1 draining", "2 ready")
+	m.apply(startTime, 0, changedEntries, []endpointlist.Endpoint{{Name: "1", Address: "10.0.0.1:1", Status: ready, SinceMS: 200}})
+	expectMembers(t, m, startTime, "1 ready", "2 ready")
 }
 
 // What a source has on standby is there for the others' words alone, and neither gone nor draining for them; a first list that is empty
 // after a reload is held as any other.
 func TestStandbyAndReload(t *testing.T) {
 	m := newMerger(time.Minute, sourceTraits{}, sourceTraits{})
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", standby)})
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{named("3", ready)})
-	wants(t, m, t0, "1 ready", "3 ready")
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{named("1", ready), named("2", ready)})
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", standby), named("2", standby)})
-	wants(t, m, t0, "1 ready", "2 ready")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", standby)})
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{named("3", ready)})
+	expectMembers(t, m, startTime, "1 ready", "3 ready")
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{named("1", ready), named("2", ready)})
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", standby), named("2", standby)})
+	expectMembers(t, m, startTime, "1 ready", "2 ready")
 	m = newMerger(time.Minute, sourceTraits{})
 	m.hadMembers = true
-	m.apply(t0, 0, fullList, nil)
-	if m.allListed() || !m.allReported() || !m.nextDeadline().Equal(t0.Add(time.Minute)) {
+	m.apply(startTime, 0, fullList, nil)
+	if m.allListed() || !m.allReported() || !m.nextDeadline().Equal(startTime.Add(time.Minute)) {
 		t.Error("an empty list after a reload was taken at once")
 	}
-	if m.members(t0.Add(time.Minute)); !m.allListed() {
+	if m.members(startTime.Add(time.Minute)); !m.allListed() {
 		t.Error("an empty list was never taken")
 	}
 }
@@ -77,80 +77,80 @@
 func TestGone(t *testing.T) {
 	m := newMerger(time.Minute, sourceTraits{}, sourceTraits{}, sourceTraits{partial: true})
 	all := []endpointlist.Endpoint{named("1", ready), named("2", ready)}
-	m.apply(t0, 0, fullList, all)
-	m.apply(t0, 1, fullList, all)
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{named("1", gone)})
-	wants(t, m, t0, "2 ready")    // in so many words
-	m.apply(t0, 1, fullList, nil) // held back: empty
-	wants(t, m, t0, "2 ready")
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready)}) // by leaving out
-	wants(t, m, t0)
-	m.apply(t0, 2, fullList, []endpointlist.Endpoint{nameless("2", ready), nameless("3", ready)})
-	wants(t, m, t0, "10.0.0.3:1 ready") // another source's word does not bring it back, and 3 is new
-	m.apply(t0, 2, fullList, []endpointlist.Endpoint{nameless("3", ready), nameless("4", ready)})
-	m.apply(t0, 2, fullList, []endpointlist.Endpoint{nameless("4", ready)}) // a name server leaves out what is there
-	m.apply(t0, 2, fullList, []endpointlist.Endpoint{nameless("3", ready), nameless("4", ready)})
-	wants(t, m, t0, "10.0.0.3:1 ready", "10.0.0.4:1 ready")
-	m.apply(t0, 0, changedEntries, []endpointlist.Endpoint{named("2", ready)}) // the teller lists it again
-	if got := m.members(t0); len(got) != 3 || got[2].Name != "2" {
-		t.Errorf("members %q", shown(got))
+	m.apply(startTime, 0, fullList, all)
+	m.apply(startTime, 1, fullList, all)
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{named("1", gone)})
+	expectMembers(t, m, startTime, "2 ready")    // in so many words
+	m.apply(startTime, 1, fullList, nil) // held back: empty
+	expectMembers(t, m, startTime, "2 ready")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready)}) // by leaving out
+	expectMembers(t, m, startTime)
+	m.apply(startTime, 2, fullList, []endpointlist.Endpoint{withoutName("2", ready), withoutName("3", ready)})
+	expectMembers(t, m, startTime, "10.0.0.3:1 ready") // another source's word does not bring it back, and 3 is new
+	m.apply(startTime, 2, fullList, []endpointlist.Endpoint{withoutName("3", ready), withoutName("4", ready)})
+	m.apply(startTime, 2, fullList, []endpointlist.Endpoint{withoutName("4", ready)}) // a name server leaves out what is there
+	m.apply(startTime, 2, fullList, []endpointlist.Endpoint{withoutName("3", ready), withoutName("4", ready)})
+	expectMembers(t, m, startTime, "10.0.0.3:1 ready", "10.0.0.4:1 ready")
+	m.apply(startTime, 0, changedEntries, []endpointlist.Endpoint{named("2", ready)}) // the teller lists it again
+	if got := m.members(startTime); len(got) != 3 || got[2].Name != "2" {
+		t.Errorf("members %q", namesAndStatuses(got))
 	}
 	// What one source goes on listing is back when the other's word is old.
 	m = newMerger(time.Minute, sourceTraits{}, sourceTraits{})
-	m.apply(t0, 0, fullList, all)
-	m.apply(t0, 1, fullList, all)
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{named("1", gone)})
-	wants(t, m, t0.Add(departureRetention-time.Second), "2 ready")
-	if at := m.nextDeadline(); !at.Equal(t0.Add(departureRetention)) {
+	m.apply(startTime, 0, fullList, all)
+	m.apply(startTime, 1, fullList, all)
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{named("1", gone)})
+	expectMembers(t, m, startTime.Add(departureRetention-time.Second), "2 ready")
+	if at := m.nextDeadline(); !at.Equal(startTime.Add(departureRetention)) {
 		t.Errorf("next %v", at)
 	}
-	wants(t, m, t0.Add(departureRetention), "1 ready", "2 ready")
+	expectMembers(t, m, startTime.Add(departureRetention), "1 ready", "2 ready")
 	// And at once where it has started since.
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{named("2", gone)})
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{named("2", gone)})
 	later := named("2", ready)
-	later.SinceMS = t0.Add(time.Second).UnixMilli()
-	m.apply(t0, 0, changedEntries, []endpointlist.Endpoint{later})
-	wants(t, m, t0, "1 ready", "2 ready")
+	later.SinceMS = startTime.Add(time.Second).UnixMilli()
+	m.apply(startTime, 0, changedEntries, []endpointlist.Endpoint{later})
+	expectMembers(t, m, startTime, "1 ready", "2 ready")
 }
 
 func TestEmptyIsHeld(t *testing.T) {
 	m := newMerger(30*time.Second, sourceTraits{}, sourceTraits{trustsEmpty: true})
-	m.apply(t0, 0, fullList, nil) // from the start: nothing to hold
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", draining)})
-	m.apply(t0.Add(time.Second), 0, fullList, nil)
-	m.apply(t0.Add(20*time.Second), 0, fullList, nil) // does not begin the wait anew
-	wants(t, m, t0.Add(30*time.Second), "1 ready", "2 draining")
-	if at := m.nextDeadline(); !at.Equal(t0.Add(31 * time.Second)) {
+	m.apply(startTime, 0, fullList, nil) // from the start: nothing to hold
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready), named("2", draining)})
+	m.apply(startTime.Add(time.Second), 0, fullList, nil)
+	m.apply(startTime.Add(20*time.Second), 0, fullList, nil) // does not begin the wait anew
+	expectMembers(t, m, startTime.Add(30*time.Second), "1 ready", "2 draining")
+	if at := m.nextDeadline(); !at.Equal(startTime.Add(31 * time.Second)) {
 		t.Errorf("next %v", at)
 	}
-	wants(t, m, t0.Add(31*time.Second))
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready)})
-	m.apply(t0, 0, fullList, nil)
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready)}) // it was a fault
-	wants(t, m, t0.Add(time.Hour), "1 ready")
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{named("7", ready)})
-	m.apply(t0, 1, fullList, nil) // a configuration means it
-	wants(t, m, t0, "1 ready")
+	expectMembers(t, m, startTime.Add(31*time.Second))
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready)})
+	m.apply(startTime, 0, fullList, nil)
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready)}) // it was a fault
+	expectMembers(t, m, startTime.Add(time.Hour), "1 ready")
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{named("7", ready)})
+	m.apply(startTime, 1, fullList, nil) // a configuration means it
+	expectMembers(t, m, startTime, "1 ready")
 }
 
 func TestNames(t *testing.T) {
 	m := newMerger(time.Minute, sourceTraits{partial: true}, sourceTraits{})
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{nameless("1", ready)})
-	wants(t, m, t0, "10.0.0.1:1 ready")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{withoutName("1", ready)})
+	expectMembers(t, m, startTime, "10.0.0.1:1 ready")
 	first := named("1", ready)
 	first.Group, first.Zone = 4, "b"
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{first})
-	if got := m.members(t0); len(got) != 1 || got[0] != first {
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{first})
+	if got := m.members(startTime); len(got) != 1 || got[0] != first {
 		t.Errorf("members %+v", got)
 	}
 	// Gone, told by name, goes for the address too: nobody else knows it under another name.
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{{Name: "1", Status: gone}})
-	wants(t, m, t0)
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{nameless("1", ready)}) // gone stands against the other's word
-	wants(t, m, t0)
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{nameless("2", draining)}) // told of an address: goes for who is there
-	m.apply(t0, 1, changedEntries, []endpointlist.Endpoint{named("2", ready)})
-	wants(t, m, t0, "2 draining")
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{{Name: "1", Status: gone}})
+	expectMembers(t, m, startTime)
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{withoutName("1", ready)}) // gone stands against the other's word
+	expectMembers(t, m, startTime)
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{withoutName("2", draining)}) // told of an address: goes for who is there
+	m.apply(startTime, 1, changedEntries, []endpointlist.Endpoint{named("2", ready)})
+	expectMembers(t, m, startTime, "2 draining")
 }
 
 // Names that differ do not make two members of one address, and don't hide a drain; another process at the address of
@@ -160,22 +160,22 @@
 	at := func(name, status string, since int64) endpointlist.Endpoint {
 		return endpointlist.Endpoint{Name: name, Address: "10.0.0.9:1", Status: status, SinceMS: since}
 	}
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{at("ours", ready, 0)})
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{at("theirs", draining, 0)})
-	wants(t, m, t0, "ours draining")
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{at("next", ready, 50)})
-	wants(t, m, t0, "next ready")
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{at("old", draining, 50), at("new", ready, 60)})
-	wants(t, m, t0, "new ready")
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{{Name: "elsewhere", Address: "10.0.0.8:1", Status: ready}})
-	wants(t, m, t0, "elsewhere ready")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{at("ours", ready, 0)})
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{at("theirs", draining, 0)})
+	expectMembers(t, m, startTime, "ours draining")
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{at("next", ready, 50)})
+	expectMembers(t, m, startTime, "next ready")
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{at("old", draining, 50), at("new", ready, 60)})
+	expectMembers(t, m, startTime, "new ready")
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{{Name: "elsewhere", Address: "10.0.0.8:1", Status: ready}})
+	expectMembers(t, m, startTime, "elsewhere ready")
 	// A name at two addresses: as sources differ, both count, and a drain goes for both.
 	m = newMerger(time.Minute, sourceTraits{}, sourceTraits{})
-	m.apply(t0, 0, fullList, []endpointlist.Endpoint{named("1", ready)})
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{{Name: "1", Address: "10.0.1.1:1", Status: ready}})
-	wants(t, m, t0, "1 ready", "1@10.0.1.1:1 ready")
-	m.apply(t0, 1, fullList, []endpointlist.Endpoint{{Name: "1", Address: "10.0.1.1:1", Status: draining}})
-	wants(t, m, t0, "1 draining", "1@10.0.1.1:1 draining")
+	m.apply(startTime, 0, fullList, []endpointlist.Endpoint{named("1", ready)})
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{{Name: "1", Address: "10.0.1.1:1", Status: ready}})
+	expectMembers(t, m, startTime, "1 ready", "1@10.0.1.1:1 ready")
+	m.apply(startTime, 1, fullList, []endpointlist.Endpoint{{Name: "1", Address: "10.0.1.1:1", Status: draining}})
+	expectMembers(t, m, startTime, "1 draining", "1@10.0.1.1:1 draining")
 }
 
 func TestMemberBound(t *testing.T) {
@@ -184,8 +184,8 @@
 	for i := range maxMembers + 5 {
 		many = append(many, endpointlist.Endpoint{Name: fmt.Sprintf("%06d", i), Address: fmt.Sprint(i), Status: ready})
 	}
-	m.apply(t0, 0, fullList, many)
-	if n := len(m.members(t0)); n != maxMembers || m.truncated != 5 {
+	m.apply(startTime, 0, fullList, many)
+	if n := len(m.members(startTime)); n != maxMembers || m.truncated != 5 {
 		t.Errorf("%d members, %d left out", n, m.truncated)
 	}
 }
@@ -200,7 +200,7 @@
 			list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("in", n), Address: fmt.Sprint(n), Status: ready},
 				endpointlist.Endpoint{Name: fmt.Sprint("out", n), Status: gone})
 		}
-		m.apply(t0, 0, changedEntries, list)
+		m.apply(startTime, 0, changedEntries, list)
 	}
 	if s := m.sources[0]; len(s.entries) != 2*maxMembers || len(s.departures) != 2*maxMembers {
 		t.Errorf("%d entries, %d departures", len(s.entries), len(s.departures))
@@ -219,15 +219,15 @@
 		for i := range last {
 			last[i] = map[string]string{}
 		}
-		now := t0
+		now := startTime
 		for step := range 60 {
 			now = now.Add(time.Duration(d.IntN(3000)) * time.Millisecond)
 			i := d.IntN(sources)
-			before := shown(m.members(now))
+			before := namesAndStatuses(m.members(now))
 			switch d.IntN(4) {
 			case 0:
 				m.apply(now, i, unreachable, nil)
-				if after := shown(m.members(now)); !slices.Equal(before, after) {
+				if after := namesAndStatuses(m.members(now)); !slices.Equal(before, after) {
 					t.Fatalf("out of reach changed %q to %q", before, after)
 				}
 			case 1:
@@ -262,7 +262,7 @@
 				for j := range last {
 					status := last[j][e.Name]
 					listed = listed || status == ready || status == draining
-					if e.Status == ready && (status == draining || status == gone && now.Sub(t0) < departureRetention) {
+					if e.Status == ready && (status == draining || status == gone && now.Sub(startTime) < departureRetention) {
 						t.Fatalf("round %d step %d: %s is ready, source %d said %s", round, step, e.Name, j, status)
 					}
 				}
