--- a/internal/gateway/cluster/cluster.go
+++ b/internal/gateway/cluster/cluster.go
@@ -1,8 +1,8 @@
-// Package cluster runs one cluster: it merges the endpoint lists of several sources, and runs the load-balancing policy over the
-// members.
+// Package cluster runs one cluster of endpoints. It merges the endpoint lists of several sources and runs the load-balancing policy over
+// the resulting members.
 //
-// merge.go states the rules of the merge. Which member gets a request is decided by package lbpolicy alone. A Cluster runs one goroutine
-// for each source, and those of its engine; Close ends them.
+// The rules of the merge are documented at the type merger. Package lbpolicy alone decides which member receives a request. A Cluster runs
+// one goroutine for each source, and the goroutines of its engine. Close ends them.
 package cluster
 
 import (
@@ -27,14 +27,14 @@
 	Name string
 	Core
 	Sources         []Source
-	ReserveFraction float64 // of each of the process's resources, reserved for this cluster
-	MaxFraction     float64 // of each of the process's resources, the most that it may take
-	// EmptyHold is how long an empty list after one that was not empty is taken for a fault.
+	ReserveFraction float64 // fraction of each process resource that is reserved for this cluster
+	MaxFraction     float64 // largest fraction of each process resource that this cluster may use
+	// EmptyHold is how long an empty list is treated as a fault of the source when it follows a list that was not empty.
 	EmptyHold time.Duration
 }
 
-// Core is the part of a Config that needs a new balancer when it changes, which has to learn anew. The rest can change under a running
-// one.
+// Core is the part of a Config that a running balancer cannot change. A change needs a new balancer, which starts without the old one's
+// measurements. Cluster.Update applies changes of all other fields.
 type Core struct {
 	Policy         lbpolicy.Settings
 	Zones          []string
@@ -43,34 +43,35 @@
 	IdleTimeout    time.Duration
 }
 
-// Resources are shared by all clusters of the process.
+// Resources holds the quota pools that all clusters of the process share.
 type Resources struct {
 	Connections, Requests, Bodies *quota.Pool
-	// The totals of the three, of which a Config's fractions are taken.
+	// The totals of the three pools. The fractions in Config refer to them.
 	MaxConnections, MaxRequests, MaxBodies int64
-	// OnExhausted is called when the process has no descriptor for a connection to an endpoint; it may be nil.
+	// OnExhausted is called when the process has no file descriptor for a connection to an endpoint. It may be nil.
 	OnExhausted func()
-	// Discovery follows the clusters of control planes; nil: there are none.
+	// Discovery follows clusters that control planes define. It is nil without a control plane.
 	Discovery Discovery
 }
 
-// NewResources returns the shared resources.
-func NewResources(connections, calls, bodies int64) *Resources {
-	return &Resources{quota.NewPool(connections), quota.NewPool(calls), quota.NewPool(bodies), connections, calls, bodies, nil, nil}
+// NewResources returns pools of the given totals: connections, requests in flight, and bytes of request bodies.
+func NewResources(connections, requests, bodies int64) *Resources {
+	return &Resources{quota.NewPool(connections), quota.NewPool(requests), quota.NewPool(bodies), connections, requests, bodies, nil, nil}
 }
 
-// Resize changes the totals; clusters take their parts with their next Update.
-func (r *Resources) Resize(connections, calls, bodies int64) {
+// Resize changes the totals. Each cluster adjusts its allocations at its next Update.
+func (r *Resources) Resize(connections, requests, bodies int64) {
 	r.Connections.Resize(connections)
-	r.Requests.Resize(calls)
+	r.Requests.Resize(requests)
 	r.Bodies.Resize(bodies)
-	r.MaxConnections, r.MaxRequests, r.MaxBodies = connections, calls, bodies
+	r.MaxConnections, r.MaxRequests, r.MaxBodies = connections, requests, bodies
 }
 
-// initialListTimeout is how long the sources have for their first lists.
+// initialListTimeout is how long a cluster waits for the first lists of its sources before it counts as initialized.
 const initialListTimeout = 2 * time.Second
 
-// busyRetryAfter is the Retry-After of a request that meets the bound on requests in flight.
+// busyRetryAfter is the Retry-After of requests that are rejected at the bound on requests in flight, for lack of file descriptors, or
+// for lack of a ready member.
 const busyRetryAfter = time.Second
 
 // Cluster is a running cluster: its sources, members, policy engine and connections. Its methods may be called from any goroutine.
@@ -86,48 +87,48 @@
 	mu           sync.Mutex
 	config       Config
 	merger       *merger
-	generation   int // of the sources; what earlier ones still report is ignored
+	generation   int // incremented when the sources are replaced; updates from replaced sources are ignored
 	members      []endpointlist.Endpoint
-	timer        *time.Timer
+	timer        *time.Timer // next publish, at the merger's next deadline; nil: none is due
 	stop         context.CancelFunc
 	initialized  chan struct{}
 	closed       bool
-	sourceLimits sourceLimits  // from a source
-	hasReady     atomic.Bool   // there is a member for new requests
-	revision     atomic.Uint64 // of members
+	sourceLimits sourceLimits  // last reported by a source
+	hasReady     atomic.Bool   // at least one member is ready for new requests
+	revision     atomic.Uint64 // number of changes of members
 }
 
 // New starts a cluster.
 func New(c Config, r *Resources, seed uint64, log *slog.Logger) (*Cluster, error) {
-	cl := &Cluster{log: log.With("cluster", c.Name), resources: r, stop: func() {}}
-	cl.conns = r.Connections.Allocate(resourceShare(c, r.MaxConnections))
-	cl.requests = r.Requests.Allocate(resourceShare(c, r.MaxRequests))
-	cl.bodies = r.Bodies.Allocate(resourceShare(c, r.MaxBodies))
-	cl.client = upstream.NewClient(upstream.Options{DialTimeout: c.ConnectTimeout, IdleTimeout: c.IdleTimeout, HedgeDials: true, MaxConns: int(r.MaxConnections),
-		Allocation: cl.conns, AnyStatus: true, OnExhausted: r.OnExhausted})
+	cluster := &Cluster{log: log.With("cluster", c.Name), resources: r, stop: func() {}}
+	cluster.conns = r.Connections.Allocate(resourceShare(c, r.MaxConnections))
+	cluster.requests = r.Requests.Allocate(resourceShare(c, r.MaxRequests))
+	cluster.bodies = r.Bodies.Allocate(resourceShare(c, r.MaxBodies))
+	cluster.client = upstream.NewClient(upstream.Options{DialTimeout: c.ConnectTimeout, IdleTimeout: c.IdleTimeout, HedgeDials: true, MaxConns: int(r.MaxConnections),
+		Allocation: cluster.conns, AnyStatus: true, OnExhausted: r.OnExhausted})
 	var err error
-	cl.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: seed, Zones: c.Zones, ReportFields: c.ReportFields, Client: cl.client,
-		Watch: func() {}, Log: cl.log})
+	cluster.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: seed, Zones: c.Zones, ReportFields: c.ReportFields, Client: cluster.client,
+		Watch: func() {}, Log: cluster.log})
 	if err != nil {
 		return nil, fmt.Errorf("cluster %q: %w", c.Name, err)
 	}
-	cl.followSources(c)
-	return cl, nil
+	cluster.followSources(c)
+	return cluster, nil
 }
 
-// resourceShare returns a cluster's reserve and limit of a total. The limit is at least one unit.
-func resourceShare(c Config, total int64) (reserve, most int64) {
+// resourceShare returns how much of a total is reserved for a cluster, and the most that it may use. The latter is at least 1.
+func resourceShare(c Config, total int64) (reserve, limit int64) {
 	return int64(c.ReserveFraction * float64(total)), max(int64(c.MaxFraction*float64(total)), 1)
 }
 
-// CanUpdate reports whether Update can take up a configuration.
+// CanUpdate reports whether Update can apply a configuration, which must have the same name and Core.
 func (c *Cluster) CanUpdate(next Config) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.config.Name == next.Name && reflect.DeepEqual(c.config.Core, next.Core)
 }
 
-// Update takes up a configuration for which CanUpdate is true. The balancer keeps its connections and its state.
+// Update applies a configuration for which CanUpdate is true. The balancer keeps its connections and its state.
 func (c *Cluster) Update(next Config, r *Resources) {
 	c.mu.Lock()
 	old := c.config
@@ -144,32 +145,32 @@
 	c.applyLimits()
 }
 
-// sourceLimits are limits that a source gives a cluster. Each applies within that of the configuration.
+// sourceLimits holds limits that a source sets for a cluster. They can lower the configured limits and never raise them.
 type sourceLimits struct {
-	connectTimeout        time.Duration // zero: not given, as the others
+	connectTimeout        time.Duration // here and in the other fields zero means that the source sets no limit
 	connections, requests int
-	dropFraction          float64 // of the traffic, to reject
+	dropFraction          float64 // fraction of requests to reject
 }
 
-// setSourceLimits takes over a source's limits.
-func (c *Cluster) setSourceLimits(turn int, b sourceLimits) {
+// setSourceLimits applies the limits that a source has reported. It ignores sources that have been replaced.
+func (c *Cluster) setSourceLimits(generation int, limits sourceLimits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.generation != turn || c.closed || c.sourceLimits == b {
+	if c.generation != generation || c.closed || c.sourceLimits == limits {
 		return
 	}
-	c.sourceLimits = b
+	c.sourceLimits = limits
 	c.applyLimits()
 }
 
 // applyLimits applies the limits of the configuration and the source. The caller holds the lock.
 func (c *Cluster) applyLimits() {
-	resize := func(s *quota.Allocation, total int64, told int) {
-		reserve, most := resourceShare(c.config, total)
-		if told > 0 {
-			most = min(most, int64(told))
+	resize := func(allocation *quota.Allocation, total int64, sourceLimit int) {
+		reserve, limit := resourceShare(c.config, total)
+		if sourceLimit > 0 {
+			limit = min(limit, int64(sourceLimit))
 		}
-		s.Resize(min(reserve, most), most)
+		allocation.Resize(min(reserve, limit), limit)
 	}
 	resize(c.conns, c.resources.MaxConnections, c.sourceLimits.connections)
 	resize(c.requests, c.resources.MaxRequests, c.sourceLimits.requests)
@@ -181,8 +182,8 @@
 	c.engine.SetDropFraction(c.sourceLimits.dropFraction)
 }
 
-// followSources starts a configuration's sources in place of those before. The members from before stay until each source has sent a
-// list: a source that is slow or unreachable must not empty the cluster.
+// followSources stops the current sources and starts those of a configuration. The current members stay until each new source has sent a
+// list, so that a slow or unreachable source does not empty the cluster.
 func (c *Cluster) followSources(next Config) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,21 +203,21 @@
 	c.initialized = make(chan struct{})
 	c.sourceLimits = sourceLimits{}
 	c.applyLimits()
-	turn, discovery := c.generation, c.resources.Discovery
+	generation, discovery := c.generation, c.resources.Discovery
 	for i, s := range next.Sources {
-		go s.run(ctx, func(w updateKind, entries []endpointlist.Endpoint) { c.receive(turn, i, w, entries) }, discovery,
-			func(b sourceLimits) { c.setSourceLimits(turn, b) }, c.log)
+		go s.run(ctx, func(kind updateKind, entries []endpointlist.Endpoint) { c.receive(generation, i, kind, entries) }, discovery,
+			func(limits sourceLimits) { c.setSourceLimits(generation, limits) }, c.log)
 	}
 	time.AfterFunc(initialListTimeout, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.generation == turn {
+		if c.generation == generation {
 			c.markInitialized()
 		}
 	})
 }
 
-// markInitialized closes the channel of Initialized. The caller holds the lock.
+// markInitialized closes the channel that Initialized returns, unless it is closed already. The caller holds the lock.
 func (c *Cluster) markInitialized() {
 	select {
 	case <-c.initialized:
@@ -225,29 +226,30 @@
 	}
 }
 
-// Initialized returns a channel that is closed once each source has reported, or had the time to.
+// Initialized returns a channel that is closed once each source has reported, or after initialListTimeout.
 func (c *Cluster) Initialized() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.initialized
 }
 
-// receive applies a source's update.
-func (c *Cluster) receive(turn, source int, w updateKind, entries []endpointlist.Endpoint) {
+// receive merges a source's update and publishes the result. It ignores sources that have been replaced.
+func (c *Cluster) receive(generation, source int, kind updateKind, entries []endpointlist.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.generation != turn || c.closed {
+	if c.generation != generation || c.closed {
 		return
 	}
 	now := time.Now()
-	c.merger.apply(now, source, w, entries)
+	c.merger.apply(now, source, kind, entries)
 	c.publish(now)
 	if c.merger.allReported() {
 		c.markInitialized()
 	}
 }
 
-// publish passes the merged list to the engine where it has changed. The caller holds the lock.
+// publish passes the merged list to the engine if it has changed, and schedules the next publish at the merger's next deadline. The
+// caller holds the lock.
 func (c *Cluster) publish(now time.Time) {
 	if c.closed {
 		return
@@ -257,7 +259,7 @@
 		list = c.appendPrevious(list)
 	}
 	if c.merger.truncated > 0 {
-		c.log.Warn("members over the bound are left out", "max_members", maxMembers, "left_out", c.merger.truncated)
+		c.log.Warn("cluster has more members than the limit, the rest is left out", "max_members", maxMembers, "left_out", c.merger.truncated)
 	}
 	if !slices.Equal(list, c.members) {
 		c.members = list
@@ -269,19 +271,20 @@
 		c.timer.Stop()
 		c.timer = nil
 	}
-	if at := c.merger.nextDeadline(); !at.IsZero() {
-		turn := c.generation
-		c.timer = time.AfterFunc(time.Until(at), func() {
+	if deadline := c.merger.nextDeadline(); !deadline.IsZero() {
+		generation := c.generation
+		c.timer = time.AfterFunc(time.Until(deadline), func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if c.generation == turn {
+			if c.generation == generation {
 				c.publish(time.Now())
 			}
 		})
 	}
 }
 
-// appendPrevious adds the members from before to a list that lacks some sources, except those that a source has reported as departed.
+// appendPrevious adds the last published members to a list for which some sources are still missing. It skips members that a source has
+// reported as departed.
 func (c *Cluster) appendPrevious(list []endpointlist.Endpoint) []endpointlist.Endpoint {
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
@@ -296,42 +299,42 @@
 	return list
 }
 
-// Revision counts the changes of the members.
+// Revision returns a number that increases with each change of the members.
 func (c *Cluster) Revision() uint64 { return c.revision.Load() }
 
-// Members returns the members as they were published last.
+// Members returns a copy of the members that were published last.
 func (c *Cluster) Members() []endpointlist.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.members)
 }
 
-// Bodies returns the cluster's part of the memory for request bodies.
+// Bodies returns the cluster's allocation of the memory for request bodies, in bytes.
 func (c *Cluster) Bodies() *quota.Allocation { return c.bodies }
 
-// SetBalancers sets how many instances share the endpoints, and which of them this one is.
+// SetBalancers sets how many balancer instances share the endpoints, and the index of this instance among them.
 func (c *Cluster) SetBalancers(instances, index int) { c.engine.SetBalancers(instances, index) }
 
-// InFlight returns the number of requests without a response, or with an attempt that has not ended.
+// InFlight returns the number of requests that have no response yet or have an attempt in flight.
 func (c *Cluster) InFlight() int { return c.engine.InFlight() }
 
-// ShutDownBy sets the time by which all requests, also those still to come, must have their responses.
-func (c *Cluster) ShutDownBy(at time.Time) { c.engine.ShutDownBy(at) }
+// ShutDownBy sets a deadline for the responses to all requests, including requests that arrive later.
+func (c *Cluster) ShutDownBy(deadline time.Time) { c.engine.ShutDownBy(deadline) }
 
-// Do passes a request to the engine and waits for its result; ok is false where the client has disconnected. Over the bound on requests in
-// flight it is rejected at once: nothing of it ran. The key is nil where the request has none.
-func (c *Cluster) Do(ctx context.Context, r upstream.Request, q lbpolicy.Request, key *engine.Key) (a engine.Result, ok bool) {
+// Do passes a request to the engine and waits for its result. It returns false if the client has disconnected. A request over the bound on
+// requests in flight is rejected at once, and no attempt is made. The key is nil if the request has no idempotency key.
+func (c *Cluster) Do(ctx context.Context, r upstream.Request, q lbpolicy.Request, key *engine.Key) (result engine.Result, ok bool) {
 	if !c.requests.TryAcquire(1) {
 		return engine.Result{Rejected: true, RetryAfter: busyRetryAfter}, true
 	}
 	defer c.requests.Release(1)
-	if a, ok = c.engine.Do(ctx, r, q, key); a.Rejected && a.RetryAfter == 0 && (a.OutOfDescriptors || !c.hasReady.Load()) {
-		a.RetryAfter = busyRetryAfter
+	if result, ok = c.engine.Do(ctx, r, q, key); result.Rejected && result.RetryAfter == 0 && (result.OutOfDescriptors || !c.hasReady.Load()) {
+		result.RetryAfter = busyRetryAfter
 	}
-	return a, ok
+	return result, ok
 }
 
-// Close ends the sources and removes all members. Attempts in flight end by themselves.
+// Close stops the sources, removes all endpoints from the engine and releases the reserves. It does not cancel attempts in flight.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/cluster/cluster_test.go
+++ b/internal/gateway/cluster/cluster_test.go
@@ -18,7 +18,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// startCluster runs a cluster with classes of each kind.
+// startCluster starts a cluster with an idempotent and a keyed idempotent class, and waits until it is initialized.
 func startCluster(t *testing.T, c Config) *Cluster {
 	t.Helper()
 	class := func(e lbpolicy.Effect) lbpolicy.Class {
@@ -30,28 +30,30 @@
 	if c.MaxFraction == 0 {
 		c.MaxFraction = 1
 	}
-	cl, err := New(c, NewResources(64, 64, 1<<20), 7, discardLogger)
+	cluster, err := New(c, NewResources(64, 64, 1<<20), 7, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(cl.Close)
+	t.Cleanup(cluster.Close)
 	select {
-	case <-cl.Initialized():
+	case <-cluster.Initialized():
 	case <-time.After(lbtest.Wait):
-		t.Fatal("never settled")
+		t.Fatal("cluster not initialized in time")
 	}
-	return cl
+	return cluster
 }
 
+// get sends a GET request with a request ID through the cluster.
 func get(t *testing.T, c *Cluster, id string) engine.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), lbtest.Wait)
 	defer cancel()
-	a, _ := c.Do(ctx, upstream.Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{"X-Request-Id": {id}}},
+	result, _ := c.Do(ctx, upstream.Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{"X-Request-Id": {id}}},
 		lbpolicy.Request{TimeLeft: lbtest.Wait}, nil)
-	return a
+	return result
 }
 
+// staticSource returns a static source that lists ready endpoints at the addresses.
 func staticSource(addrs ...string) Source {
 	s := &Static{}
 	for _, a := range addrs {
@@ -60,6 +62,7 @@
 	return Source{Static: s}
 }
 
+// writeFile replaces a file atomically.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -70,49 +73,49 @@
 	}
 }
 
-// A file that is replaced is followed; one that can't be read, or is broken, takes nothing away; a drain that it tells
-// stands against the other sources.
-func TestFileAndStatic(t *testing.T) {
+// Guards against losing members to an unusable endpoint file. A missing, invalid or empty file leaves the members in place. A replaced file
+// is applied, and a drain in it overrides the static list.
+func TestInvalidEndpointFileKeepsMembersAndDrainOverridesStaticList(t *testing.T) {
 	t.Parallel()
-	one := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.Write([]byte(lbtest.OK("one"))) })
-	two := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.Write([]byte(lbtest.OK("two"))) })
+	first := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { arrival.Write([]byte(lbtest.OK("one"))) })
+	second := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { arrival.Write([]byte(lbtest.OK("two"))) })
 	path := filepath.Join(t.TempDir(), "list.json")
-	writeFile(t, path, `{"endpoints": [{"address": "`+two.Addr+`"}]}`)
-	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{staticSource(one.Addr), {File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}}})
+	writeFile(t, path, `{"endpoints": [{"address": "`+second.Addr+`"}]}`)
+	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{staticSource(first.Addr), {File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}}})
 	if n := len(c.Members()); n != 2 {
-		t.Fatalf("%d members", n)
+		t.Fatalf("%d members, want 2", n)
 	}
 	for _, broken := range []string{`{"endpoints": [{"address": "nowhere"}]}`, `{"endp`, `{}`, `{"endpoints": []}`} {
 		writeFile(t, path, broken)
-		time.Sleep(20 * time.Millisecond) // more does no harm
+		time.Sleep(20 * time.Millisecond) // many polls of the file; a longer wait changes nothing
 		if n := len(c.Members()); n != 2 {
-			t.Fatalf("%s: %d members", broken, n)
+			t.Fatalf("file %s: %d members, want 2", broken, n)
 		}
 	}
 	os.Remove(path)
-	writeFile(t, path, `{"endpoints": [{"address": "`+one.Addr+`", "status": "draining"}, {"address": "`+two.Addr+`"}]}`)
-	lbtest.Until(t, "draining", func() bool {
+	writeFile(t, path, `{"endpoints": [{"address": "`+first.Addr+`", "status": "draining"}, {"address": "`+second.Addr+`"}]}`)
+	lbtest.Until(t, "a member is draining after the file was replaced", func() bool {
 		return slices.ContainsFunc(c.Members(), func(e endpointlist.Endpoint) bool { return e.Status == draining })
 	})
 	for range 20 {
-		if a := get(t, c, "x"); a.Response == nil || string(a.Response.Body) != "two" {
-			t.Fatalf("sent to one that drains: %+v", a)
+		if result := get(t, c, "x"); result.Response == nil || string(result.Response.Body) != "two" {
+			t.Fatalf("request sent to the draining endpoint: %+v", result)
 		}
 	}
 }
 
-func TestParseFile(t *testing.T) {
+func TestParseFileReportsInvalidEntryAndSetsDefaults(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`: "JSON", `{}`: "no \"endpoints\"", `{"endpoints": [{"address": "a:1"}]}`: "endpoints[0]: address",
 		`{"endpoints": [{"address": "127.0.0.1:1"}, {"address": "127.0.0.1:1", "status": "up"}]}`: "endpoints[1]: status",
 	} {
 		if _, err := ParseFile([]byte(text), "a"); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("ParseFile of %s: unexpected error %v", text, err)
 		}
 	}
 	got, err := ParseFile([]byte(`{"endpoints": [{"address": "127.0.0.1:1", "group": 3, "since_ms": 5}]}`), "a")
 	if want := (endpointlist.Endpoint{Address: "127.0.0.1:1", Zone: "a", Group: 3, Status: ready, SinceMS: 5}); err != nil || got[0] != want {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("entries %+v, error %v", got, err)
 	}
 }
 
@@ -123,80 +126,81 @@
 		entries, err := ParseFile(text, "a")
 		for _, e := range entries {
 			if err != nil || e.Zone == "" || e.Status == "" {
-				t.Fatalf("%+v, %v", e, err)
+				t.Fatalf("entry %+v returned with error %v", e, err)
 			}
 		}
 	})
 }
 
-// The registry's drains and departures stand against a list in the configuration.
-func TestRegistrySource(t *testing.T) {
+// Guards against sending requests to an endpoint that the registry no longer lists while the static list still has it.
+func TestRegistryDepartureOverridesStaticList(t *testing.T) {
 	t.Parallel()
-	one := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	two := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) { a.OK() })
-	d := lbtest.NewDiscovery(t, 5, one.Addr, two.Addr)
-	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{{Registry: &Registry{Address: d.Addr}}, staticSource(one.Addr)}})
-	lbtest.Until(t, "both", func() bool { return len(c.Members()) >= 2 })
-	d.Set(two.Addr)
-	lbtest.Until(t, "one gone", func() bool {
+	first := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { arrival.OK() })
+	second := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { arrival.OK() })
+	d := lbtest.NewDiscovery(t, 5, first.Addr, second.Addr)
+	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{{Registry: &Registry{Address: d.Addr}}, staticSource(first.Addr)}})
+	lbtest.Until(t, "both endpoints are members", func() bool { return len(c.Members()) >= 2 })
+	d.Set(second.Addr)
+	lbtest.Until(t, "only the second endpoint is a member", func() bool {
 		m := c.Members()
-		return len(m) == 1 && m[0].Address == two.Addr
+		return len(m) == 1 && m[0].Address == second.Addr
 	})
 }
 
-// Other sources under a running balancer: what it knows stays until they have spoken, and its connections too.
-func TestUpdate(t *testing.T) {
+// Guards against losing members and connections when the sources of a running cluster are replaced. The old members have to stay until each
+// new source has sent a list.
+func TestReplacedSourcesKeepMembersAndConnections(t *testing.T) {
 	t.Parallel()
 	var conns atomic.Int64
-	one := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
-		if a.Index == 0 {
+	first := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) {
+		if arrival.Index == 0 {
 			conns.Add(1)
 		}
-		a.OK()
+		arrival.OK()
 	})
-	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{staticSource(one.Addr)}})
+	c := startCluster(t, Config{Name: "c", EmptyHold: time.Hour, Sources: []Source{staticSource(first.Addr)}})
 	get(t, c, "first")
 	next := c.config
-	path := filepath.Join(t.TempDir(), "list.json") // not there yet
+	path := filepath.Join(t.TempDir(), "list.json") // does not exist yet
 	next.Sources = []Source{{File: &File{Path: path, Poll: time.Millisecond, Zone: "a"}}, staticSource()}
 	if !c.CanUpdate(next) {
-		t.Fatal("other sources need no other balancer")
+		t.Fatal("CanUpdate is false for a change of sources")
 	}
 	c.Update(next, NewResources(64, 64, 1<<20))
-	if a := get(t, c, "between"); a.Response == nil {
-		t.Fatalf("between the sources: %+v", a)
+	if result := get(t, c, "between"); result.Response == nil {
+		t.Fatalf("no response before the new sources sent their lists: %+v", result)
 	}
-	writeFile(t, path, `{"endpoints": [{"name": "at-`+one.Addr+`", "address": "`+one.Addr+`"}]}`)
+	writeFile(t, path, `{"endpoints": [{"name": "at-`+first.Addr+`", "address": "`+first.Addr+`"}]}`)
 	<-c.Initialized()
-	lbtest.Until(t, "a member", func() bool { return len(c.Members()) == 1 })
-	if a := get(t, c, "after"); a.Response == nil || conns.Load() != 1 {
-		t.Errorf("after: %+v, %d connections", a, conns.Load())
+	lbtest.Until(t, "one member is published from the new file", func() bool { return len(c.Members()) == 1 })
+	if result := get(t, c, "after"); result.Response == nil || conns.Load() != 1 {
+		t.Errorf("after the update: %+v, %d connections, want a response over 1", result, conns.Load())
 	}
 	other := next
 	other.IdleTimeout++
 	if c.CanUpdate(other) {
-		t.Error("another core fits")
+		t.Error("CanUpdate is true for a change of Core")
 	}
 	c.Close()
-	if a := get(t, c, "closed"); !a.Rejected {
-		t.Errorf("a closed cluster: %+v", a)
+	if result := get(t, c, "closed"); !result.Rejected {
+		t.Errorf("closed cluster did not reject a request: %+v", result)
 	}
 }
 
-// Over its bound on calls a cluster refuses at once, and tells when to come back.
-func TestBusy(t *testing.T) {
+// Guards against queuing requests over the bound on requests in flight. They have to be rejected at once, with a Retry-After.
+func TestRequestOverInFlightBoundIsRejected(t *testing.T) {
 	t.Parallel()
 	e := lbtest.NewEndpoint(t, nil)
 	c := startCluster(t, Config{Name: "c", MaxFraction: 1.0 / 64, Sources: []Source{staticSource(e.Addr)}})
 	first := make(chan engine.Result, 1)
 	go func() { first <- get(t, c, "first") }()
-	held := <-e.Arrivals
-	if a := get(t, c, "second"); !a.Rejected || a.RetryAfter == 0 || a.MayHaveRun {
-		t.Errorf("over the bound: %+v", a)
+	arrival := <-e.Arrivals
+	if result := get(t, c, "second"); !result.Rejected || result.RetryAfter == 0 || result.MayHaveRun {
+		t.Errorf("request over the bound not rejected with a Retry-After: %+v", result)
 	}
-	held.OK()
-	if a := <-first; a.Response == nil {
-		t.Errorf("the first: %+v", a)
+	arrival.OK()
+	if result := <-first; result.Response == nil {
+		t.Errorf("no response to the request within the bound: %+v", result)
 	}
-	lbtest.Until(t, "room", func() bool { return c.requests.Used() == 0 })
+	lbtest.Until(t, "the request allocation is released", func() bool { return c.requests.Used() == 0 })
 }
--- a/internal/gateway/cluster/dns_test.go
+++ b/internal/gateway/cluster/dns_test.go
@@ -16,9 +16,10 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-func startNameServer(t *testing.T, answer func(q dns.Question, tcp bool) *fake.Response) *fake.NameServer {
+// startNameServer starts a fake name server.
+func startNameServer(t *testing.T, respond func(q dns.Question, tcp bool) *fake.Response) *fake.NameServer {
 	t.Helper()
-	s, err := fake.NewNameServer(answer)
+	s, err := fake.NewNameServer(respond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,55 +27,56 @@
 	return s
 }
 
+// respondWith returns a function that responds to each query with the records.
 func respondWith(lines ...string) func(dns.Question, bool) *fake.Response {
 	return func(dns.Question, bool) *fake.Response { return &fake.Response{Records: lines} }
 }
 
-func TestLookUp(t *testing.T) {
+func TestResolveReturnsAddressesAndShortestTTL(t *testing.T) {
 	for name, c := range map[string]struct {
-		srv    bool
-		answer func(q dns.Question, tcp bool) *fake.Response
-		want   string // addresses, or what the error says
-		ttl    time.Duration
+		srv     bool
+		respond func(q dns.Question, tcp bool) *fake.Response
+		want    string // addresses, or a part of the error
+		ttl     time.Duration
 	}{
-		"A and AAAA": {answer: respondWith("p.test. 30 IN A 127.0.0.1", "P.test. 20 IN AAAA ::1", "other.test. 1 IN A 127.0.0.9"),
+		"A and AAAA": {respond: respondWith("p.test. 30 IN A 127.0.0.1", "P.test. 20 IN AAAA ::1", "other.test. 1 IN A 127.0.0.9"),
 			want: "127.0.0.1:7 [::1]:7", ttl: 20 * time.Second},
-		"alias": {answer: func(q dns.Question, _ bool) *fake.Response {
+		"A without AAAA": {respond: func(q dns.Question, _ bool) *fake.Response {
 			if q.Qtype != dns.TypeA {
 				return &fake.Response{}
 			}
 			return &fake.Response{Records: []string{"p.test. 9 IN A 127.0.0.3"}}
 		}, want: "127.0.0.3:7", ttl: 9 * time.Second},
-		"no such name": {answer: func(dns.Question, bool) *fake.Response { return &fake.Response{Rcode: dns.RcodeNameError} },
+		"no such name": {respond: func(dns.Question, bool) *fake.Response { return &fake.Response{Rcode: dns.RcodeNameError} },
 			want: "", ttl: 5 * time.Second},
-		"TTL 0":          {answer: respondWith("p.test. 0 IN A 127.0.0.1"), want: "127.0.0.1:7", ttl: 0},
-		"server failure": {answer: func(dns.Question, bool) *fake.Response { return &fake.Response{Rcode: dns.RcodeServerFailure} }, want: "SERVFAIL"},
-		"half a failure": {answer: func(q dns.Question, _ bool) *fake.Response {
+		"TTL 0":          {respond: respondWith("p.test. 0 IN A 127.0.0.1"), want: "127.0.0.1:7", ttl: 0},
+		"server failure": {respond: func(dns.Question, bool) *fake.Response { return &fake.Response{Rcode: dns.RcodeServerFailure} }, want: "SERVFAIL"},
+		"A found, AAAA fails": {respond: func(q dns.Question, _ bool) *fake.Response {
 			if q.Qtype == dns.TypeAAAA {
 				return &fake.Response{Rcode: dns.RcodeServerFailure}
 			}
 			return &fake.Response{Records: []string{"p.test. 9 IN A 127.0.0.3"}}
 		}, want: "AAAA: SERVFAIL"},
-		"cut short, whole over TCP": {answer: func(_ dns.Question, tcp bool) *fake.Response {
+		"truncated over UDP, complete over TCP": {respond: func(_ dns.Question, tcp bool) *fake.Response {
 			if !tcp {
 				return &fake.Response{Records: []string{"p.test. 9 IN A 127.0.0.3"}, Truncated: true}
 			}
 			return &fake.Response{Records: []string{"p.test. 9 IN A 127.0.0.3", "p.test. 9 IN A 127.0.0.4"}}
 		}, want: "127.0.0.3:7 127.0.0.4:7", ttl: 9 * time.Second},
-		"cut short for good": {answer: func(dns.Question, bool) *fake.Response {
+		"truncated over UDP and TCP": {respond: func(dns.Question, bool) *fake.Response {
 			return &fake.Response{Records: []string{"p.test. 9 IN A 127.0.0.3"}, Truncated: true}
-		}, want: "cut short"},
-		"SRV with glue, lowest priority": {srv: true, answer: func(q dns.Question, _ bool) *fake.Response {
+		}, want: "response truncated over UDP and TCP"},
+		"SRV with glue, lowest priority": {srv: true, respond: func(q dns.Question, _ bool) *fake.Response {
 			return &fake.Response{Records: []string{"p.test. 8 IN SRV 1 0 80 a.test.", "p.test. 8 IN SRV 1 9 81 a.test.", "p.test. 8 IN SRV 2 0 82 b.test."},
 				Extra: []string{"a.test. 6 IN A 127.0.0.5", "b.test. 1 IN A 127.0.0.6"}}
 		}, want: "127.0.0.5:80 127.0.0.5:81", ttl: 6 * time.Second},
-		"SRV without glue": {srv: true, answer: respondWith("p.test. 8 IN SRV 1 0 80 a.test.", "a.test. 4 IN A 127.0.0.5"),
+		"SRV without glue": {srv: true, respond: respondWith("p.test. 8 IN SRV 1 0 80 a.test.", "a.test. 4 IN A 127.0.0.5"),
 			want: "127.0.0.5:80", ttl: 4 * time.Second},
-		"SRV, not there": {srv: true, answer: respondWith("p.test. 8 IN SRV 0 0 0 ."), want: "", ttl: 5 * time.Second},
+		"SRV, service not available": {srv: true, respond: respondWith("p.test. 8 IN SRV 0 0 0 ."), want: "", ttl: 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startNameServer(t, c.answer)
+			s := startNameServer(t, c.respond)
 			d := &DNS{Name: "p.test", SRV: c.srv, Port: 7, Zone: "a", Server: s.Addr}
 			entries, ttl, err := d.resolve(t.Context())
 			var got []string
@@ -88,50 +90,50 @@
 					t.Error(err)
 				}
 			case strings.Join(got, " ") != c.want || ttl != c.ttl:
-				t.Errorf("got %v for %v, want %q for %v", got, ttl, c.want, c.ttl)
+				t.Errorf("addresses %v with TTL %v, want %q with TTL %v", got, ttl, c.want, c.ttl)
 			}
 		})
 	}
 }
 
-// What a name server says when it is empty, silent or cut short takes no member away; TTL 0 does not make a flood of
-// questions; what it says again counts again.
-func TestDNSCluster(t *testing.T) {
+// Guards against losing members to a faulty name server: empty, missing or truncated responses leave the members in place. A later valid
+// response is applied. The records have TTL 0, which must not cause a flood of queries.
+func TestFaultyDNSResponsesKeepMembers(t *testing.T) {
 	t.Parallel()
 	s := startNameServer(t, respondWith("p.test. 0 IN A 127.0.0.1", "p.test. 0 IN A 127.0.0.2"))
 	c := startCluster(t, Config{Name: "p", EmptyHold: time.Hour, Sources: []Source{{DNS: &DNS{Name: "p.test", Port: 7, Zone: "a", Server: s.Addr, unit: 20 * time.Millisecond}}}})
-	lbtest.Until(t, "two members", func() bool { return len(c.Members()) == 2 })
-	for name, answer := range map[string]func(dns.Question, bool) *fake.Response{
-		"empty":     func(dns.Question, bool) *fake.Response { return &fake.Response{} },
-		"none":      func(dns.Question, bool) *fake.Response { return nil },
-		"cut short": func(dns.Question, bool) *fake.Response { return &fake.Response{Truncated: true} },
+	lbtest.Until(t, "both addresses are members", func() bool { return len(c.Members()) == 2 })
+	for name, respond := range map[string]func(dns.Question, bool) *fake.Response{
+		"empty response":     func(dns.Question, bool) *fake.Response { return &fake.Response{} },
+		"no response":        func(dns.Question, bool) *fake.Response { return nil },
+		"truncated response": func(dns.Question, bool) *fake.Response { return &fake.Response{Truncated: true} },
 	} {
-		s.Set(answer)
-		for range 4 { // A and AAAA of the next round at the least
+		s.Set(respond)
+		for range 4 { // at least the A and AAAA queries of the next resolution
 			select {
 			case <-s.Queries():
 			case <-time.After(lbtest.Wait):
-				t.Fatalf("%s: not asked again", name)
+				t.Fatalf("%s: no further query", name)
 			}
 		}
 		if n := len(c.Members()); n != 2 {
-			t.Fatalf("%s: %d members are left", name, n)
+			t.Fatalf("%s: %d members, want 2", name, n)
 		}
 	}
 	s.Set(respondWith("p.test. 1 IN A 127.0.0.2", "p.test. 1 IN A 127.0.0.3"))
-	lbtest.Until(t, "other members", func() bool {
+	lbtest.Until(t, "the members are those of the new response", func() bool {
 		m := c.Members()
 		return len(m) == 2 && m[1].Address == "127.0.0.3:7"
 	})
 }
 
-func TestSilentNameServer(t *testing.T) {
+func TestResolveWithoutResponseFails(t *testing.T) {
 	t.Parallel()
 	s := startNameServer(t, func(dns.Question, bool) *fake.Response { return nil })
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-s.Queries(); cancel() }()
 	d := &DNS{Name: "p.test", Port: 7, Server: s.Addr}
 	if _, _, err := d.resolve(ctx); err == nil {
-		t.Error("an answer out of nothing")
+		t.Error("resolve succeeded without a response from the name server")
 	}
 }
--- a/internal/gateway/cluster/merge.go
+++ b/internal/gateway/cluster/merge.go
@@ -19,62 +19,62 @@
 	unreachable                      // the source cannot be reached
 )
 
-// sourceTraits say how a source's updates are interpreted.
+// sourceTraits describes how a source's updates are interpreted.
 type sourceTraits struct {
-	// partial: an entry that it leaves out may still exist (a name server rotates and truncates its responses). Otherwise leaving out an
-	// entry that was listed means that the endpoint has departed.
+	// partial: an entry missing from a full list may still exist (a name server rotates and truncates its responses). For other sources
+	// an entry missing from a full list means that the endpoint has departed.
 	partial bool
 	// trustsEmpty: an empty list is intended (a configuration that was just loaded).
 	trustsEmpty bool
 }
 
 const (
-	maxMembers          = 10_000         // of a cluster
-	maxEntriesPerSource = 2 * maxMembers // entries, and departures
-	// departureRetention is how long a departure that one source reports counts against another that still lists the endpoint: much
-	// longer than any cache between the two, but not for ever, as the source may just have lost sight of the endpoint.
+	maxMembers          = 10_000         // members of a cluster
+	maxEntriesPerSource = 2 * maxMembers // bound on a source's entries, and again on its departures
+	// departureRetention is how long a departure reported by one source overrides other sources that still list the endpoint. It is much
+	// longer than any cache between the sources. It is limited because the reporting source may merely have lost sight of the endpoint.
 	departureRetention = 5 * time.Minute
 )
 
-// The states of an entry.
+// Status values of an entry.
 const (
 	ready    = "ready"
 	draining = "draining"
 	gone     = "gone"
-	// standby: listed and not to be used now; what other sources say of the endpoint counts.
+	// standby: listed but not to be used at present. The reports of other sources decide about the endpoint.
 	standby = "standby"
 )
 
 // merger merges the lists of several sources by these rules:
 //
 //  1. An endpoint is a member while any source lists it.
-//  2. A drain that any source reports holds until that source says ready, no longer lists the endpoint, or lists it with a later start.
-//  3. A departure that any source reports (explicitly, or by leaving out what it listed, unless it is partial) counts against all others
-//     for departureRetention, until that source lists the endpoint again, or until the endpoint's start is later.
+//  2. A drain that any source reports holds until that source reports it ready, no longer lists the endpoint, or lists it with a later start.
+//  3. A departure that any source reports (explicitly, or by leaving it out of a full list, unless the source is partial) overrides all
+//     other sources for departureRetention, until that source lists the endpoint again, or until the endpoint's start is later.
 //  4. An unreachable source changes nothing: its last list stays.
-//  5. An empty list after one that was not empty is taken for a fault and deferred for the empty hold, also over a reload that follows
-//     the sources anew.
-//  6. A member is identified by its address: entries with several names and one address are one member, under the name with the latest
-//     start, else that of the first source in the configuration's order. A drain that names an endpoint holds at each of its addresses.
-//  7. Zone, group and weight are those of the first source that gives them; the start is the latest.
-//  8. An entry on standby (of a priority that is not in use) does not make a member by itself.
+//  5. An empty list after one that was not empty is treated as a fault and deferred for emptyHold. This also holds for the
+//     first list after a reload that restarts the sources.
+//  6. A member is identified by its address: entries with one address and several names are one member. It has the name with the latest
+//     start, or the name from the first source in the configuration's order. A drain of a name holds at each address of that name.
+//  7. Zone, group and weight are those of the first source that gives them. The start is the latest of all.
+//  8. An entry on standby (of a priority that is not in use) does not make the endpoint a member by itself.
 //
 // A merger has no clock and does no I/O. It is not safe for concurrent use.
 type merger struct {
 	emptyHold  time.Duration
 	sources    []sourceState
 	truncated  int  // members over maxMembers at the last merge
-	hadMembers bool // before the sources were followed: an empty first list follows one that was not empty
+	hadMembers bool // the cluster had members before the sources started, so an empty first list follows one that was not empty
 }
 
 // sourceState is the state of one source.
 type sourceState struct {
 	sourceTraits
-	hasList     bool
-	hasReported bool // a list, or that it is unreachable
+	hasList     bool // a list has been applied
+	hasReported bool // has sent a list, or was reported unreachable
 	entries     map[string]endpointlist.Endpoint
 	departures  map[string]departure
-	emptySince  time.Time // since when an empty list is deferred; zero: none is
+	emptySince  time.Time // when the deferred empty list arrived; zero: none is deferred
 }
 
 // departure is a report that an endpoint has departed.
@@ -83,6 +83,7 @@
 	address string
 }
 
+// newMerger returns a merger with one source for each element of traits.
 func newMerger(emptyHold time.Duration, traits ...sourceTraits) *merger {
 	m := &merger{emptyHold: emptyHold}
 	for _, t := range traits {
@@ -94,7 +95,7 @@
 // entryKey identifies an entry within its source.
 func entryKey(e endpointlist.Endpoint) string { return cmp.Or(e.Name, e.Address) }
 
-// addressKey identifies an address among names.
+// addressKey returns a key for an address in a map that also has names as keys.
 func addressKey(address string) string { return "@" + address }
 
 // apply applies a source's update.
@@ -120,7 +121,7 @@
 	}
 }
 
-// deferEmpty defers an empty list that follows one that was not empty. It returns false where the list is to be applied.
+// deferEmpty defers an empty list that follows one that was not empty. It returns false if the list has to be applied now.
 func (m *merger) deferEmpty(now time.Time, s *sourceState) bool {
 	followsMembers := len(s.entries) > 0 || !s.hasList && m.hadMembers
 	if s.trustsEmpty || !followsMembers {
@@ -146,6 +147,7 @@
 	}
 }
 
+// applyEntry adds, changes or removes one entry, by its status.
 func (s *sourceState) applyEntry(now time.Time, e endpointlist.Endpoint) {
 	key := entryKey(e)
 	switch e.Status {
@@ -160,7 +162,7 @@
 		}
 		before, listed := s.entries[key]
 		switch {
-		case listed && before.Address != e.Address && !s.partial: // it has moved
+		case listed && before.Address != e.Address && !s.partial: // the endpoint has another address now
 			s.recordDeparture(addressKey(before.Address), departure{now, before.Address})
 		case !listed && len(s.entries) >= maxEntriesPerSource:
 			return
@@ -170,6 +172,7 @@
 	}
 }
 
+// remove removes an entry and, unless the source is partial, records its departure.
 func (s *sourceState) remove(key string, now time.Time) {
 	if !s.partial {
 		s.recordDeparture(key, departure{now, s.entries[key].Address})
@@ -177,14 +180,14 @@
 	delete(s.entries, key)
 }
 
-// recordDeparture keeps a departure within the bound. Beyond it the departure affects its own source alone.
+// recordDeparture records a departure, up to maxEntriesPerSource. A departure beyond that affects its own source alone.
 func (s *sourceState) recordDeparture(key string, d departure) {
 	if len(s.departures) < maxEntriesPerSource {
 		s.departures[key] = d
 	}
 }
 
-// expire applies empty lists that were deferred for long enough, and forgets departures after their retention.
+// expire applies empty lists that have been deferred for emptyHold, and removes departures older than departureRetention.
 func (m *merger) expire(now time.Time) {
 	for i := range m.sources {
 		s := &m.sources[i]
@@ -199,7 +202,7 @@
 	}
 }
 
-// nextDeadline returns the time at which expire has something to do; zero: none.
+// nextDeadline returns the earliest time at which expire changes the state. It is zero if there is none.
 func (m *merger) nextDeadline() (next time.Time) {
 	for i := range m.sources {
 		s := &m.sources[i]
@@ -221,12 +224,12 @@
 	return a
 }
 
-// allReported reports whether each source has sent a list, or was unreachable.
+// allReported reports whether each source has sent a list or was reported unreachable.
 func (m *merger) allReported() bool {
 	return !slices.ContainsFunc(m.sources, func(s sourceState) bool { return !s.hasReported })
 }
 
-// allListed reports whether each source has sent a list.
+// allListed reports whether a list of each source has been applied.
 func (m *merger) allListed() bool {
 	return !slices.ContainsFunc(m.sources, func(s sourceState) bool { return !s.hasList })
 }
@@ -245,7 +248,7 @@
 		if drained.covers(addressKey(e.Address), e.SinceMS) || drained.covers(e.Name, e.SinceMS) {
 			e.Status = draining
 		}
-		if _, taken := list[e.Name]; taken { // sources disagree on the address of a name
+		if _, taken := list[e.Name]; taken { // the sources give several addresses for one name
 			e.Name += addressKey(address)
 		}
 		list[e.Name] = e
@@ -255,7 +258,7 @@
 	return out[:len(out)-m.truncated]
 }
 
-// collect returns the entries of all sources by address, in the order of the sources, and their drains.
+// collect returns the entries of all sources, grouped by address in the order of the sources, and the drains that they report.
 func (m *merger) collect() (map[string][]endpointlist.Endpoint, drainStarts) {
 	byAddress := map[string][]endpointlist.Endpoint{}
 	drained := drainStarts{}
@@ -277,17 +280,18 @@
 	return byAddress, drained
 }
 
-// drainStarts holds what drainStarts, by name and by addressKey, with the latest start that does.
+// drainStarts maps the name and the addressKey of each draining endpoint to its latest start time, in ms. A drain applies to endpoints that
+// started at that time or before.
 type drainStarts map[string]int64
 
 func (d drainStarts) add(key string, sinceMS int64) {
-	if sinceMS <= 0 { // without a start any start drains
+	if sinceMS <= 0 { // a drain without a start time applies whatever the endpoint's start
 		sinceMS = math.MaxInt64
 	}
 	d[key] = max(d[key], sinceMS)
 }
 
-// covers reports whether an endpoint with a start drains.
+// covers reports whether an endpoint with the given start time is draining.
 func (d drainStarts) covers(key string, sinceMS int64) bool {
 	latest, ok := d[key]
 	return ok && latest >= sinceMS
@@ -296,12 +300,14 @@
 // activeDepartures holds the departures of each source.
 type activeDepartures []sourceDepartures
 
+// sourceDepartures indexes the departures that one source has reported.
 type sourceDepartures struct {
 	byName    map[string]departure
 	byAddress map[string]departure
-	listed    map[string]bool // addresses that the source lists: another process may be there now
+	listed    map[string]bool // addresses that the source lists again: another process may use them now
 }
 
+// departures returns the departures that each source has reported and that have not expired.
 func (m *merger) departures() activeDepartures {
 	out := make(activeDepartures, len(m.sources))
 	for i := range m.sources {
@@ -327,7 +333,8 @@
 	return out
 }
 
-// covers reports whether a source has reported that an endpoint has departed, and does not list it again.
+// covers reports whether a source has reported an endpoint's departure, does not list its address again, and the endpoint has not started
+// since.
 func (d activeDepartures) covers(e endpointlist.Endpoint) bool {
 	for i := range d {
 		if d[i].listed[e.Address] {
@@ -342,7 +349,7 @@
 	return false
 }
 
-// mergeEntries makes one member of all entries with an address.
+// mergeEntries returns one member made from all entries with an address.
 func mergeEntries(address string, entries []endpointlist.Endpoint) endpointlist.Endpoint {
 	out := endpointlist.Endpoint{Address: address, Status: ready}
 	for _, e := range entries {
--- a/internal/gateway/cluster/nameresolver.go
+++ b/internal/gateway/cluster/nameresolver.go
@@ -12,22 +12,22 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// nameResolver resolves the endpoints of an XDS source that are names. What it resolves is the source's list. It runs one goroutine for
-// each name; stop waits for them.
+// nameResolver resolves the endpoints of an XDS source whose addresses are DNS names, and reports the resolved list as the source's list.
+// It runs one goroutine for each name. stop waits for them.
 type nameResolver struct {
 	source *XDS
 	log    *slog.Logger
 	tasks  sync.WaitGroup
 
 	mu         sync.Mutex
-	endpoints  []cache.AssignedEndpoint           // that are followed
-	cancel     context.CancelFunc                 // nil: none are
-	generation int                                // of the endpoints; what earlier goroutines still resolve is ignored
-	resolved   map[string][]endpointlist.Endpoint // by name and port; nil: not resolved yet
+	endpoints  []cache.AssignedEndpoint           // endpoints being resolved
+	cancel     context.CancelFunc                 // ends the resolution; nil: no endpoints are followed
+	generation int                                // incremented when the endpoints are replaced; results from earlier goroutines are ignored
+	resolved   map[string][]endpointlist.Endpoint // by name and port; a nil value is not resolved yet
 }
 
-// follow resolves endpoints in place of those before. A change of their weights or health alone asks no name server. With onlyFirst the
-// first address of a name alone is used.
+// follow resolves endpoints and stops resolving the previous ones. A change of weights or health alone sends no DNS query. With onlyFirst,
+// only the first address of each name is used.
 func (r *nameResolver) follow(ctx context.Context, endpoints []cache.AssignedEndpoint, onlyFirst bool, report reportFunc) {
 	isSame := r.follows(endpoints)
 	if !isSame {
@@ -51,14 +51,14 @@
 	}
 }
 
-// follows reports whether the endpoints have the addresses that are followed.
+// follows reports whether the endpoints being resolved have the same addresses as the given ones.
 func (r *nameResolver) follows(endpoints []cache.AssignedEndpoint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cancel != nil && slices.EqualFunc(r.endpoints, endpoints, func(a, b cache.AssignedEndpoint) bool { return a.Address == b.Address })
 }
 
-// start resolves a name and port until ctx ends. The caller holds the lock.
+// start starts resolving a name and port until ctx ends. An IP address needs no query. The caller holds the lock.
 func (r *nameResolver) start(ctx context.Context, address string, onlyFirst bool, report reportFunc) {
 	host, portText, _ := net.SplitHostPort(address)
 	port, _ := strconv.Atoi(portText)
@@ -80,7 +80,8 @@
 	})
 }
 
-// update takes over what a name server said of a name. The caller holds the lock.
+// update applies the result of a resolution. A name that has been resolved keeps its addresses while its name server is unreachable. The
+// caller holds the lock.
 func (r *nameResolver) update(address string, kind updateKind, entries []endpointlist.Endpoint, onlyFirst bool, report reportFunc) {
 	if kind == unreachable {
 		if r.resolved[address] == nil {
@@ -95,7 +96,7 @@
 	r.publish(report)
 }
 
-// publish reports the list once each name is resolved. The caller holds the lock.
+// publish reports the list if each name is resolved. The caller holds the lock.
 func (r *nameResolver) publish(report reportFunc) {
 	var out []endpointlist.Endpoint
 	for i := range r.endpoints {
@@ -108,7 +109,7 @@
 			e := r.source.entry(assigned)
 			e.Address = address.Address
 			if len(resolved) > 1 {
-				e.Name = "" // several addresses under one name would be one member
+				e.Name = "" // entries with the same name would replace each other in the merger
 				e.Weight /= float64(len(resolved))
 			}
 			out = append(out, e)
--- a/internal/gateway/cluster/source.go
+++ b/internal/gateway/cluster/source.go
@@ -17,10 +17,10 @@
 	"silvertrail/lbpolicy"
 )
 
-// reportFunc takes a source's updates, one at a time.
-type reportFunc func(w updateKind, entries []endpointlist.Endpoint)
+// reportFunc receives a source's updates, one at a time.
+type reportFunc func(kind updateKind, entries []endpointlist.Endpoint)
 
-// Source is a source of endpoints. Exactly one of its fields is set. A reload compares sources with reflect.DeepEqual.
+// Source is a source of endpoints. Exactly one of its fields is set. Cluster.Update compares sources with reflect.DeepEqual.
 type Source struct {
 	Static   *Static
 	File     *File
@@ -29,6 +29,7 @@
 	XDS      *XDS
 }
 
+// traits returns how the merger interprets the source's updates.
 func (s Source) traits() sourceTraits {
 	return sourceTraits{partial: s.DNS != nil, trustsEmpty: s.Static != nil}
 }
@@ -49,20 +50,20 @@
 	}
 }
 
-// Static is a list in the configuration itself.
+// Static is a list of endpoints in the configuration itself.
 type Static struct{ Endpoints []endpointlist.Endpoint }
 
-// File is a list in a file that is replaced atomically (written beside and renamed).
+// File is a list of endpoints in a file. The file must be replaced atomically: written under another name, then renamed.
 type File struct {
 	Path string
-	Poll time.Duration // interval between two checks for a change
-	Zone string        // of entries without one
+	Poll time.Duration // interval between checks of the file for a change
+	Zone string        // zone of entries that give none
 }
 
-// maxFileBytes bounds a file of endpoints.
+// maxFileBytes bounds the size of a file of endpoints.
 const maxFileBytes = 4 << 20
 
-// run reads the file each time that it has changed, until ctx ends. With a file that cannot be used the last list stays.
+// run reads the file whenever it has changed, until ctx ends. A file that cannot be read or parsed leaves the last list in place.
 func (f *File) run(ctx context.Context, report reportFunc, log *slog.Logger) {
 	file := watchedfile.File{Path: f.Path, MaxBytes: maxFileBytes}
 	failed := ""
@@ -77,9 +78,9 @@
 				err = fmt.Errorf("%s: %w", f.Path, err)
 			}
 		}
-		if err != nil && err.Error() != failed { // an error is logged once
+		if err != nil && err.Error() != failed { // the same error in a row is logged once
 			failed = err.Error()
-			log.Warn("file of endpoints not applied, its last list is kept", "error", err)
+			log.Warn("endpoint file not applied, its last list is kept", "error", err)
 			report(unreachable, nil)
 		}
 		if !sleep(ctx, f.Poll) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// ParseFile reads a file of endpoints: {"endpoints": [{"name", "address", "zone", "group", "status", "since_ms", "weight"}]}, all
-// optional but the address. One invalid entry makes the file invalid.
+// ParseFile parses a file of endpoints: {"endpoints": [{"name", "address", "zone", "group", "status", "since_ms", "weight"}]}. Only the
+// address is required. One invalid entry makes the whole file invalid.
 func ParseFile(text []byte, zone string) ([]endpointlist.Endpoint, error) {
 	var raw struct {
 		Endpoints *[]struct {
@@ -111,17 +112,17 @@
 			return nil, fmt.Errorf("endpoints[%d]: %w", i, err)
 		}
 		if e.Weight < 0 || e.Weight > 1 {
-			return nil, fmt.Errorf("endpoints[%d]: weight %g is not from 0 (not told) to 1", i, e.Weight)
+			return nil, fmt.Errorf("endpoints[%d]: weight %g is not from 0 (not set) to 1", i, e.Weight)
 		}
 		out = append(out, e)
 	}
 	return out, nil
 }
 
-// NormaliseEndpoint adds the defaults of an entry, or returns what is wrong with it.
+// NormaliseEndpoint sets the defaults of an entry, and returns an error if the entry is invalid.
 func NormaliseEndpoint(e *endpointlist.Endpoint, zone string) error {
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
-		return fmt.Errorf("address %q is no IP address and port", e.Address)
+		return fmt.Errorf("address %q is not an IP address and port", e.Address)
 	}
 	if e.Zone == "" {
 		e.Zone = zone
@@ -130,14 +131,15 @@
 		e.Status = ready
 	}
 	if !slices.Contains([]string{ready, draining, gone}, e.Status) {
-		return fmt.Errorf("status %q is none of ready, draining, gone", e.Status)
+		return fmt.Errorf("status %q is not one of ready, draining, gone", e.Status)
 	}
 	return nil
 }
 
-// Registry is the platform's discovery, which pushes changes.
+// Registry is the platform's discovery service, which pushes changes of the endpoint list.
 type Registry struct{ Address string }
 
+// run reports the registry's updates until ctx ends.
 func (r *Registry) run(ctx context.Context, report reportFunc, log *slog.Logger) {
 	discovery.New(r.Address, 0, 0, func(kind lbpolicy.ListKind, entries []endpointlist.Endpoint) {
 		switch kind {
@@ -151,7 +153,7 @@
 	}, log).Run(ctx)
 }
 
-// sleep waits, and returns false where ctx has ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -163,5 +165,5 @@
 	}
 }
 
-// jitter returns a random time around d, so that many processes do not ask at the same time.
+// jitter returns a random duration from 3/4 to 5/4 of d, so that many processes do not send queries at the same time.
 func jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2+1) }
--- a/internal/gateway/cluster/xds.go
+++ b/internal/gateway/cluster/xds.go
@@ -9,27 +9,27 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// Discovery follows clusters of control planes.
+// Discovery follows clusters that control planes define.
 type Discovery interface {
-	// Follow reports a cluster's view, and again after each change, until ctx ends. Of changes that come faster than report returns
-	// only the last is reported.
+	// Follow reports a cluster's view, and again after each change, until ctx ends. If several changes occur while report runs, only
+	// the last is reported.
 	Follow(ctx context.Context, resource string, report func(cache.ClusterView))
 }
 
-// XDS is a cluster of control planes as a source.
+// XDS is a source that follows a cluster of a control plane.
 type XDS struct {
-	Resource  string
-	Priority  int      // that is used; cache.AllPriorities: all, by their health
-	Zones     []string // of this process
-	Zone      string   // of endpoints in other zones
-	ZoneField string   // field of a locality that is the zone: "region", "zone" or "sub_zone"
+	Resource  string   // name of the cluster resource
+	Priority  int      // priority to use; cache.AllPriorities uses all, depending on their health
+	Zones     []string // zones of the process
+	Zone      string   // zone assigned to endpoints in any other zone
+	ZoneField string   // field of a locality that holds the zone: "region", "zone" or "sub_zone"
 	Server    string   // name server, for clusters whose endpoints are names
 }
 
 // run reports the cluster's endpoints until ctx ends.
 func (x *XDS) run(ctx context.Context, report reportFunc, d Discovery, setLimits func(sourceLimits), log *slog.Logger) {
 	if d == nil {
-		log.Error("no control plane for a source")
+		log.Error("xDS source has no control plane")
 		report(unreachable, nil)
 		return
 	}
@@ -37,10 +37,10 @@
 	defer resolver.stop()
 	d.Follow(ctx, x.Resource, func(v cache.ClusterView) {
 		switch v.State {
-		case cache.Pending: // the list from before stays
+		case cache.Pending: // the last list stays in use
 			return
 		case cache.Missing:
-			log.Warn("cluster missing at its control plane, the last list is kept", "resource", x.Resource, "reason", v.Reason)
+			log.Warn("cluster not found at its control plane, the last list is kept", "resource", x.Resource, "reason", v.Reason)
 			report(unreachable, nil)
 			return
 		case cache.Removed:
@@ -59,9 +59,10 @@
 	})
 }
 
-// statusOfUse translates an endpoint's use into the status of an entry.
+// statusOfUse maps an endpoint's use to the status of its entry.
 var statusOfUse = [...]string{cache.Used: ready, cache.Standby: standby, cache.Unused: draining}
 
+// entries returns the entries for assigned endpoints.
 func (x *XDS) entries(endpoints []cache.AssignedEndpoint) (out []endpointlist.Endpoint) {
 	for i := range endpoints {
 		out = append(out, x.entry(&endpoints[i]))
@@ -69,6 +70,7 @@
 	return out
 }
 
+// entry returns the entry for an assigned endpoint. A locality outside Zones is replaced by Zone.
 func (x *XDS) entry(e *cache.AssignedEndpoint) endpointlist.Endpoint {
 	zone := map[string]string{"region": e.Locality.Region, "zone": e.Locality.Zone, "sub_zone": e.Locality.SubZone}[x.ZoneField]
 	if !slices.Contains(x.Zones, zone) {
