--- a/internal/gateway/conf/classes.go
+++ b/internal/gateway/conf/classes.go
@@ -9,7 +9,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// The words of a class block.
+// The values that the attributes "effect" and "scope" of a class block accept, and the default methods for each effect.
 var (
 	effects = map[string]lbpolicy.Effect{"safe": lbpolicy.Idempotent, "keyed": lbpolicy.KeyedIdempotent, "unsafe": lbpolicy.NonIdempotent}
 	scopes  = map[string]lbpolicy.Scope{"all": lbpolicy.ScopeAll, "zone": lbpolicy.ScopeZone, "cell": lbpolicy.ScopeCell}
@@ -22,14 +22,14 @@
 
 // class reads a class block.
 func (p *parser) class(b *hcl.Block) Class {
-	s := p.open("class "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"aim", "deadline", "worth", "effect", "scope", "window", "methods",
+	s := p.decodeBlock("class "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"aim", "deadline", "worth", "effect", "scope", "window", "methods",
 		"keep", "check_repeats", "concurrent", "unrecorded"}, nil)
 	s.require("aim", "deadline", "effect")
 	c := Class{Name: b.Labels[0]}
 	c.Deadline = s.duration("deadline", time.Second, time.Millisecond, time.Hour)
 	if s.isValid("deadline") {
 		c.LatencyObjective = s.duration("aim", c.Deadline, time.Millisecond, c.Deadline)
-	} else { // an invalid deadline is reported once, not again by the bound that it is
+	} else { // do not report an invalid deadline again as the upper bound of "aim"
 		c.LatencyObjective = s.duration("aim", c.Deadline, time.Millisecond, time.Hour)
 	}
 	c.PriorityWeight = s.number("worth", 1, 0, 1e6)
@@ -44,7 +44,7 @@
 	c.ServeUnrecorded = s.oneOf("unrecorded", "refuse", "refuse", "serve") == "serve"
 	c.Methods = methods[c.Effect]
 	if s.has("methods") {
-		c.Methods = p.methods(s.list("methods"))
+		c.Methods = p.readMethods(s.list("methods"))
 	}
 	for _, name := range []string{"scope", "window", "keep", "check_repeats", "concurrent", "unrecorded"} {
 		if s.has(name) && c.Effect != lbpolicy.KeyedIdempotent {
@@ -57,8 +57,8 @@
 	return c
 }
 
-// methods checks a list of methods.
-func (p *parser) methods(list []located) []string {
+// readMethods checks a list of HTTP methods and returns their names. CONNECT and TRACE are not proxied.
+func (p *parser) readMethods(list []locatedText) []string {
 	for _, l := range list {
 		if l.text == "" || strings.ContainsFunc(l.text, func(r rune) bool { return r < 'A' || r > 'Z' }) || l.text == "CONNECT" || l.text == "TRACE" {
 			p.report(l.at, "Unusable method", "%q is no method that is passed on.", l.text)
--- a/internal/gateway/conf/clients.go
+++ b/internal/gateway/conf/clients.go
@@ -23,17 +23,17 @@
 // TLS holds the certificate settings of a listener.
 type TLS struct {
 	Files    certs.Files
-	Required bool // clients must present a certificate
+	Required bool // clients without a certificate are rejected
 }
 
-// groupNames records which group each network and certificate name belongs to, over all clients blocks.
+// groupNames maps each network and certificate name to its group, across all clients blocks.
 type groupNames struct {
 	networks     map[netip.Prefix]string
 	certificates map[string]string
 }
 
-// clientGroups reads the clients blocks. Group 0 is that of all other clients. What a listener reserves for a group is read with the
-// listener.
+// clientGroups reads the clients blocks. Group 0 holds all clients that no block matches. The capacity that a listener reserves for a
+// group is read together with the listener.
 func (p *parser) clientGroups(blocks hcl.Blocks) []admission.Group {
 	groups := []admission.Group{{Name: admission.Others}}
 	taken := groupNames{networks: map[netip.Prefix]string{}, certificates: map[string]string{}}
@@ -43,8 +43,9 @@
 	return groups
 }
 
+// clientGroup reads a clients block, and reports networks and certificate names that another group in taken already has.
 func (p *parser) clientGroup(b *hcl.Block, taken groupNames) admission.Group {
-	s := p.open("clients "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"networks", "file", "certificates", "deny", "per_address", "rate", "burst", "weight"}, nil)
+	s := p.decodeBlock("clients "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"networks", "file", "certificates", "deny", "per_address", "rate", "burst", "weight"}, nil)
 	g := admission.Group{Name: b.Labels[0], Deny: s.boolean("deny"), Weight: s.number("weight", 1, 0.01, 1e6)}
 	if g.Name == admission.Others {
 		p.report(b.LabelRanges[0], "Name taken", "%q are those who are of no clients block.", g.Name)
@@ -63,7 +64,7 @@
 	return g
 }
 
-// groupNetworks reads the networks of a group, from the list and from the file.
+// groupNetworks reads the networks of a group, from the attribute "networks" and from the file.
 func (p *parser) groupNetworks(s *block, g *admission.Group, taken groupNames) {
 	var networks []locatedNetwork
 	for _, l := range s.list("networks") {
@@ -87,7 +88,7 @@
 	}
 }
 
-// groupCertificates reads the certificate names of a group.
+// groupCertificates reads the certificate names of a group: host names, or a wildcard for all names under a domain.
 func (p *parser) groupCertificates(s *block, g *admission.Group, taken groupNames) {
 	for _, l := range s.list("certificates") {
 		name := strings.ToLower(l.text)
@@ -104,7 +105,7 @@
 	}
 }
 
-// sourceLimits reads the limits of one source of a group.
+// sourceLimits reads the limits that apply to each source address of a group.
 func (p *parser) sourceLimits(s *block, g *admission.Group) {
 	g.MaxPerSource = s.integer("per_address", 0, 1, 1<<20)
 	g.Rate = s.number("rate", 0, 0.001, 1e6)
@@ -114,7 +115,7 @@
 	}
 }
 
-// parseNetwork reads "10.0.0.0/8", an address, or "10.0.0.5-10.0.0.9".
+// parseNetwork parses a prefix ("10.0.0.0/8"), a single address, or a range of addresses ("10.0.0.5-10.0.0.9").
 func parseNetwork(text string) ([]netip.Prefix, error) {
 	if r, err := netipx.ParseIPRange(text); err == nil {
 		return r.Prefixes(), nil
@@ -133,13 +134,13 @@
 
 const maxNetworksFileBytes = 16 << 20
 
-// locatedNetwork is a network and its place in a file.
+// locatedNetwork is a network with its position in a file.
 type locatedNetwork struct {
 	network netip.Prefix
 	at      hcl.Range
 }
 
-// networksFile reads a file of networks, one a line; what follows "#" is a comment.
+// networksFile reads a file with one network per line. Text after "#" is a comment.
 func (p *parser) networksFile(s *block) (out []locatedNetwork) {
 	path := p.path(s, "file")
 	f, err := os.Open(path)
@@ -157,11 +158,11 @@
 	for n, offset := 1, 0; lines.Scan(); n++ {
 		at := hcl.Range{Filename: filepath.Clean(path), Start: hcl.Pos{Line: n, Column: 1, Byte: offset}, End: hcl.Pos{Line: n, Column: 1 + len(lines.Text()), Byte: offset + len(lines.Text())}}
 		offset += len(lines.Bytes()) + 1
-		what, _, _ := strings.Cut(lines.Text(), "#")
-		if what = strings.TrimSpace(what); what == "" {
+		entry, _, _ := strings.Cut(lines.Text(), "#")
+		if entry = strings.TrimSpace(entry); entry == "" {
 			continue
 		}
-		found, err := parseNetwork(what)
+		found, err := parseNetwork(entry)
 		if err != nil {
 			p.report(at, "Not a network", "%s.", err)
 		}
@@ -175,7 +176,7 @@
 	return out
 }
 
-// admission reads a listener's admission policy, and its tls block.
+// admission reads a listener's admission policy and its tls block.
 func (p *parser) admission(s *block, l *Listener, groups []admission.Group) {
 	l.Admission = admission.Policy{
 		Capacity:       l.MaxConns,
@@ -204,12 +205,13 @@
 	}
 }
 
-// reserve reads what a listener reserves for a group, and returns the number of slots. Groups that were read before are in seen.
+// reserve reads a reserve block: the connections that a listener reserves for a group. It returns their number. The names in seen are the
+// groups for which the listener already has a reserve block.
 func (p *parser) reserve(b *hcl.Block, s *block, l *Listener, seen map[string]bool) int {
-	r := p.open("reserve "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"places", "most"}, nil)
+	r := p.decodeBlock("reserve "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"places", "most"}, nil)
 	n := slices.IndexFunc(l.Admission.Groups, func(g admission.Group) bool { return g.Name == b.Labels[0] })
 	if n < 1 {
-		p.requireDefined("clients", located{b.Labels[0], b.LabelRanges[0]})
+		p.requireDefined("clients", locatedText{b.Labels[0], b.LabelRanges[0]})
 		return 0
 	}
 	g := &l.Admission.Groups[n]
@@ -229,7 +231,7 @@
 
 // tls reads a listener's tls block.
 func (p *parser) tls(b *hcl.Block, s *block, l *Listener) {
-	t := p.open("tls of "+s.name, b.DefRange, b.Body, []string{"certificate", "key", "authority", "required"}, nil)
+	t := p.decodeBlock("tls of "+s.name, b.DefRange, b.Body, []string{"certificate", "key", "authority", "required"}, nil)
 	t.require("certificate", "key")
 	if l.TLS != nil {
 		p.report(b.DefRange, "Twice", "There is one tls block at most.")
--- a/internal/gateway/conf/clusters.go
+++ b/internal/gateway/conf/clusters.go
@@ -14,9 +14,9 @@
 	"silvertrail/lbpolicy"
 )
 
-// cluster reads a cluster block.
+// cluster reads a cluster block. The number of clusters, n, determines the default reserve and maximum share.
 func (p *parser) cluster(b *hcl.Block, settings lbpolicy.Settings, zones []string, n int) cluster.Config {
-	s := p.open("cluster "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"connect_timeout", "idle", "max_attempts", "hedge",
+	s := p.decodeBlock("cluster "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"connect_timeout", "idle", "max_attempts", "hedge",
 		"warm_up", "start_capacity", "fall_multiple", "fall_window", "crossing_price", "load_report", "reserve", "most", "empty_hold"},
 		map[string]int{"endpoint": 1, "file": 0, "dns": 0, "registry": 0, "xds": 0})
 	c := cluster.Config{Name: b.Labels[0]}
@@ -51,7 +51,7 @@
 	return c
 }
 
-// sources reads the sources of a cluster's endpoints, except its xds block. All endpoint blocks are one source.
+// sources reads the sources of a cluster's endpoints, except its xds block. All endpoint blocks together form one static source.
 func (p *parser) sources(s *block, c *cluster.Config, zones []string) {
 	var static *cluster.Static
 	for _, b := range s.blocks {
@@ -77,7 +77,7 @@
 }
 
 func (p *parser) endpoint(b *hcl.Block, zones []string) endpointlist.Endpoint {
-	e := p.open("endpoint "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "zone", "group", "status", "weight"}, nil)
+	e := p.decodeBlock("endpoint "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "zone", "group", "status", "weight"}, nil)
 	e.require("address")
 	entry := endpointlist.Endpoint{
 		Name:    b.Labels[0],
@@ -85,7 +85,7 @@
 		Zone:    p.zone(e, zones),
 		Group:   e.integer("group", 0, 0, 1<<30),
 		Status:  e.oneOf("status", "ready", "ready", "draining"),
-		Weight:  e.number("weight", 0, 0.001, 1), // 0: another source may give it
+		Weight:  e.number("weight", 0, 0.001, 1), // 0: another source may set the weight
 	}
 	if err := cluster.NormaliseEndpoint(&entry, zones[0]); err != nil && e.has("address") {
 		e.report(e.rangeOf("address"), "Not an address", "%s.", err)
@@ -94,7 +94,7 @@
 }
 
 func (p *parser) fileSource(b *hcl.Block, s *block, zones []string) *cluster.File {
-	e := p.open("a file of "+s.name, b.DefRange, b.Body, []string{"path", "poll", "zone"}, nil)
+	e := p.decodeBlock("a file of "+s.name, b.DefRange, b.Body, []string{"path", "poll", "zone"}, nil)
 	e.require("path")
 	return &cluster.File{
 		Path: p.path(e, "path"),
@@ -104,7 +104,7 @@
 }
 
 func (p *parser) dnsSource(b *hcl.Block, s *block, zones []string) *cluster.DNS {
-	e := p.open("dns of "+s.name, b.DefRange, b.Body, []string{"name", "type", "port", "zone", "server"}, nil)
+	e := p.decodeBlock("dns of "+s.name, b.DefRange, b.Body, []string{"name", "type", "port", "zone", "server"}, nil)
 	e.require("name")
 	d := &cluster.DNS{
 		Name:   e.text("name", ""),
@@ -128,7 +128,7 @@
 }
 
 func (p *parser) registrySource(b *hcl.Block, s *block) *cluster.Registry {
-	e := p.open("a registry of "+s.name, b.DefRange, b.Body, []string{"address"}, nil)
+	e := p.decodeBlock("a registry of "+s.name, b.DefRange, b.Body, []string{"address"}, nil)
 	e.require("address")
 	address := e.text("address", "")
 	if _, err := netip.ParseAddrPort(address); err != nil && e.has("address") {
@@ -137,11 +137,11 @@
 	return &cluster.Registry{Address: address}
 }
 
-// zone reads a zone; the default is the first one.
+// zone reads the attribute "zone". The default is the first zone of the process.
 func (p *parser) zone(s *block, zones []string) string {
 	name := s.text("zone", zones[0])
 	if s.has("zone") {
-		p.requireDefined("zone", located{name, s.rangeOf("zone")})
+		p.requireDefined("zone", locatedText{name, s.rangeOf("zone")})
 	}
 	return name
 }
--- a/internal/gateway/conf/conf.go
+++ b/internal/gateway/conf/conf.go
@@ -1,7 +1,8 @@
-// Package conf reads the gateway's configuration file, in HCL: listeners, classes, tenants, clusters, routes, and the optional parts.
+// Package conf reads the gateway's configuration file, in HCL: listeners, classes, tenants, clusters, routes, and optional blocks
+// such as the fleet, the link, the xDS client and the ledger.
 //
 // A file with an error is rejected as a whole. All errors are reported at once, each with its file, line and column. The package opens
-// the file, and the files that it names for keys, networks and bootstrap.
+// the file itself, and the files to which it refers for the keyring, the ledger's secret, client networks and the xDS bootstrap.
 package conf
 
 import (
@@ -31,7 +32,7 @@
 type File struct {
 	Process      Process
 	Classes      []Class
-	Tenants      []string // in the order of the policy's indexes
+	Tenants      []string // the policy refers to a tenant by its index in this list
 	Listeners    []Listener
 	Clusters     []cluster.Config
 	Routes       *route.Table
@@ -47,12 +48,12 @@
 // Process holds the settings of the whole process.
 type Process struct {
 	Zones        []string
-	Sockets      int // descriptors
+	Sockets      int // limit of open file descriptors
 	MaxRequests  int64
 	BodyMemory   int64
-	ShutdownTime time.Duration // from SIGTERM to the last response
-	DefaultClass string        // of requests without a class, on routes without one
-	MaxKeys      int           // of requests with an idempotency key
+	ShutdownTime time.Duration // time for a graceful shutdown, from SIGTERM to the last response
+	DefaultClass string        // class of requests without a class, on routes without a class
+	MaxKeys      int           // limit of idempotency keys that are tracked
 }
 
 // Class is a class of requests.
@@ -61,29 +62,29 @@
 	Methods []string
 	lbpolicy.Class
 
-	// Of classes with idempotency keys:
+	// The following fields apply to classes with idempotency keys.
 
-	Retention       time.Duration // for which a key is remembered after its window, so that no retry is taken for a new request
-	CheckRepeats    bool          // a key with another target or body is rejected
+	Retention       time.Duration // how long a key is kept after its window, so that a late retry is not taken for a new request
+	CheckRepeats    bool          // a repeated key with another target or body is rejected
 	Concurrent      ConcurrentPolicy
-	ServeUnrecorded bool // requests are served where the ledger cannot record them
+	ServeUnrecorded bool // requests are served even if the ledger cannot record them
 }
 
-// ConcurrentPolicy says what happens to a request while another with its key is in flight.
+// ConcurrentPolicy determines how a request is handled while another request with the same idempotency key is in flight.
 type ConcurrentPolicy uint8
 
-// The policies: it is forwarded to the group of endpoints that deduplicates it, or rejected with 409.
+// The policies for concurrent requests with the same idempotency key.
 const (
-	ForwardConcurrent ConcurrentPolicy = iota
-	RejectConcurrent
+	ForwardConcurrent ConcurrentPolicy = iota // forwarded to the group of endpoints that deduplicates requests by key
+	RejectConcurrent                          // rejected with status 409
 )
 
-// Listener is an address on which clients connect.
+// Listener holds the settings of an address on which the gateway accepts client connections.
 type Listener struct {
 	Name     string
 	Address  string
 	MaxConns int
-	// TrustsForwarded has the X-Forwarded-For header of clients extended; otherwise it is replaced.
+	// TrustsForwarded makes the gateway append to the X-Forwarded-For header that clients send. Otherwise the header is replaced.
 	TrustsForwarded bool
 	Admission       admission.Policy
 	TLS             *TLS // nil: no TLS
@@ -95,7 +96,7 @@
 	files       map[string]*hcl.File
 }
 
-// Error returns the errors, one a line.
+// Error returns the errors, one per line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	for i, d := range e.Diagnostics {
@@ -110,19 +111,19 @@
 	return b.String()
 }
 
-// Text returns the errors with the lines of the file that they concern.
+// Text returns the errors, each with the lines of the file to which it refers.
 func (e *Error) Text() string {
 	var b bytes.Buffer
-	_ = hcl.NewDiagnosticTextWriter(&b, e.files, textWidth, false).WriteDiagnostics(e.Diagnostics) // a write to memory cannot fail
+	_ = hcl.NewDiagnosticTextWriter(&b, e.files, textWidth, false).WriteDiagnostics(e.Diagnostics) // a write to a buffer cannot fail
 	return b.String()
 }
 
 const (
 	maxFileBytes = 64 << 20
-	textWidth    = 100 // columns of Error.Text
+	textWidth    = 100 // width of the lines that Error.Text returns, in columns
 )
 
-// Load reads a file. An *Error holds what is wrong with its content.
+// Load reads a configuration file. Errors in its content are returned as an *Error.
 func Load(path string) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -138,7 +139,8 @@
 	return Parse(text, path)
 }
 
-// Parse reads a file's text. The name is the file's path, for errors and for relative paths in the text.
+// Parse parses the text of a configuration file. The name is the file's path: it appears in errors, and relative paths in the text are
+// resolved against its folder.
 func Parse(text []byte, name string) (*File, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if diags.HasErrors() {
--- a/internal/gateway/conf/conf_test.go
+++ b/internal/gateway/conf/conf_test.go
@@ -12,7 +12,7 @@
 	"silvertrail/lbpolicy"
 )
 
-const base = `
+const baseConfig = `
 class "read" {
   aim      = "1s"
   deadline = "2s"
@@ -61,7 +61,7 @@
 }
 
 func TestDefaults(t *testing.T) {
-	f := parse(t, base)
+	f := parse(t, baseConfig)
 	c := f.Clusters[0]
 	if f.Process.Sockets != 1024 || c.Policy.MaxAttempts != 3 || c.MaxFraction != 1 || c.ReserveFraction != 0.5 || f.Listeners[0].MaxConns != 512 ||
 		c.Sources[0].Static.Endpoints[0].Zone != "local" {
@@ -130,7 +130,7 @@
 		"route \"r\" {\n respond {\n }\n}":                                                                           `needs "status"`,
 		"route \"r\" {":                                                                                              `test.hcl:15:`,
 	} {
-		f, err := Parse([]byte(base+text), "test.hcl")
+		f, err := Parse([]byte(baseConfig+text), "test.hcl")
 		var faults *Error
 		if f != nil || !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s\nwant %s, got: %v", text, want, err)
@@ -149,7 +149,7 @@
 		"class \"w\" {\n aim = \"3s\"\n deadline = \"5 parsecs\"\n effect = \"safe\"\n}",
 		"process {\n fleet = \"many\"\n member = 3\n}",
 	} {
-		_, err := Parse([]byte(base+text), "test.hcl")
+		_, err := Parse([]byte(baseConfig+text), "test.hcl")
 		var faults *Error
 		if !errors.As(err, &faults) || len(faults.Diagnostics) != 1 {
 			t.Errorf("%s\n%v", text, err)
@@ -159,7 +159,7 @@
 
 // All faults of a file are told at once, in its order.
 func TestAllFaults(t *testing.T) {
-	_, err := Parse([]byte(base+"route \"s\" {\n match {\n path = \"/a//b\"\n }\n cluster = \"c\"\n}\nroute \"r\" {\n cluster = \"x\"\n timeout = 5\n class = \"q\"\n}\nprocess {\n stop = \"x\"\n}\n"), "test.hcl")
+	_, err := Parse([]byte(baseConfig+"route \"s\" {\n match {\n path = \"/a//b\"\n }\n cluster = \"c\"\n}\nroute \"r\" {\n cluster = \"x\"\n timeout = 5\n class = \"q\"\n}\nprocess {\n stop = \"x\"\n}\n"), "test.hcl")
 	var faults *Error
 	if !errors.As(err, &faults) || len(faults.Diagnostics) != 5 {
 		t.Fatalf("%v", err)
@@ -188,7 +188,7 @@
 
 // Whatever the text: no panic, and an error that tells something, or a file whose routes can be searched.
 func FuzzParse(f *testing.F) {
-	f.Add(base)
+	f.Add(baseConfig)
 	if text, err := os.ReadFile("../../../deploy/silvertrail.hcl"); err == nil {
 		f.Add(string(text))
 	}
@@ -208,7 +208,7 @@
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n, "routes"), func(b *testing.B) {
-			text := Many(n)
+			text := configWithRoutes(n)
 			for b.Loop() {
 				if _, err := Parse([]byte(text), "many.hcl"); err != nil {
 					b.Fatal(err)
@@ -218,10 +218,10 @@
 	}
 }
 
-// Many returns a configuration of n routes.
-func Many(n int) string {
+// configWithRoutes returns a configuration of n routes.
+func configWithRoutes(n int) string {
 	var b strings.Builder
-	b.WriteString(base)
+	b.WriteString(baseConfig)
 	for i := range n {
 		fmt.Fprintf(&b, "route \"r%d\" {\n  match {\n    prefix = \"/p%d\"\n  }\n  class = \"read\"\n  cluster = \"c\"\n}\n", i, i)
 	}
--- a/internal/gateway/conf/controlplane.go
+++ b/internal/gateway/conf/controlplane.go
@@ -11,7 +11,7 @@
 	"silvertrail/internal/edge/certs"
 )
 
-// maxPeers bounds the peers of a control-plane server.
+// maxPeers is the maximum number of peers of a control-plane server.
 const maxPeers = 16
 
 // controlPlaneBlock reads the block that makes this process a control-plane server, or returns nil where there is none.
@@ -21,7 +21,7 @@
 	}
 	p.atMostOne(blocks)
 	b := blocks[0]
-	s := p.open("control_plane", b.DefRange, b.Body, []string{"name", "listen", "plain", "certificate", "key", "authority", "state", "pace", "subscribers", "settle"},
+	s := p.decodeBlock("control_plane", b.DefRange, b.Body, []string{"name", "listen", "plain", "certificate", "key", "authority", "state", "pace", "subscribers", "settle"},
 		map[string]int{"peer": 1})
 	s.require("name", "listen", "state")
 	o := &api.Options{Name: s.text("name", ""), Listen: s.text("listen", ""), Insecure: s.boolean("plain"),
@@ -47,17 +47,17 @@
 		s.report(s.at, "No certificate", "control_plane needs a \"certificate\" and its \"key\", or plain = true.")
 	}
 	for _, inner := range s.blocks {
-		pl, ok := p.controlPlane(inner)
+		plane, ok := p.controlPlane(inner)
 		switch {
 		case !ok:
-		case pl.File != "":
-			p.report(inner.DefRange, "Not a control machine", "Peer %q is a file; it needs an \"address\".", pl.Name)
-		case pl.Name == o.Name:
-			p.report(inner.LabelRanges[0], "Its own peer", "%q is this control machine.", pl.Name)
-		case slices.ContainsFunc(o.Peers, func(is api.Peer) bool { return is.Name == pl.Name }):
-			p.report(inner.LabelRanges[0], "Named twice", "A peer named %q is there already.", pl.Name)
+		case plane.File != "":
+			p.report(inner.DefRange, "Not a control machine", "Peer %q is a file; it needs an \"address\".", plane.Name)
+		case plane.Name == o.Name:
+			p.report(inner.LabelRanges[0], "Its own peer", "%q is this control machine.", plane.Name)
+		case slices.ContainsFunc(o.Peers, func(peer api.Peer) bool { return peer.Name == plane.Name }):
+			p.report(inner.LabelRanges[0], "Named twice", "A peer named %q is there already.", plane.Name)
 		default:
-			o.Peers = append(o.Peers, api.Peer{Name: pl.Name, Plane: pl})
+			o.Peers = append(o.Peers, api.Peer{Name: plane.Name, Plane: plane})
 		}
 	}
 	if n := len(o.Peers); n > maxPeers {
@@ -66,7 +66,7 @@
 	return o
 }
 
-// isUsableName reports whether a name can be part of a version.
+// isUsableName reports whether the name of a control-plane server is valid: it becomes a part of version strings.
 func isUsableName(name string) bool {
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '.' && r != '-' && r != '_' {
--- a/internal/gateway/conf/file.go
+++ b/internal/gateway/conf/file.go
@@ -11,14 +11,14 @@
 	"silvertrail/lbpolicy"
 )
 
-// topLevelBlocks are the blocks of a file, with the number of their labels.
+// topLevelBlocks maps the type of each top-level block to the number of its labels.
 var topLevelBlocks = map[string]int{"process": 0, "class": 1, "tenant": 1, "listener": 1, "cluster": 1, "route": 1, "fleet": 1, "link": 1,
 	"clients": 1, "xds": 0, "ledger": 0, "control_plane": 0}
 
-// maxFleetSize bounds the number of instances.
+// maxFleetSize is the maximum number of instances in a fleet.
 const maxFleetSize = 10_000
 
-// file reads a file's body. Where it reports an error the result cannot be used.
+// file reads a file's body. The result is only valid if no error was reported.
 func (p *parser) file(body hcl.Body) *File {
 	blocks := p.topLevel(body)
 	f := &File{}
@@ -28,13 +28,13 @@
 	var process *block
 	f.Process, process = p.process(blocks["process"])
 	f.ControlPlane = p.controlPlaneBlock(blocks["control_plane"])
-	// A control-plane server may serve no clients.
+	// A control-plane server needs no listeners, routes, clusters or classes: it may run without serving clients.
 	serves := f.ControlPlane == nil || len(blocks["listener"])+len(blocks["route"])+len(blocks["cluster"])+len(blocks["class"]) > 0
 	if len(f.Classes) == 0 && serves {
 		p.report(body.MissingItemRange(), "No class", "At least one class is needed: what requests are worth and how long they may take.")
 	}
 	if name := f.Process.DefaultClass; name != "" {
-		p.requireDefined("class", located{name, process.rangeOf("default_class")})
+		p.requireDefined("class", locatedText{name, process.rangeOf("default_class")})
 	}
 	f.Fleet = p.fleetBlock(blocks["fleet"], f)
 	f.Link = p.linkBlock(blocks["link"], f)
@@ -56,7 +56,7 @@
 
 // topLevel returns the blocks of a file by type.
 func (p *parser) topLevel(body hcl.Body) map[string]hcl.Blocks {
-	top := p.open("the file", hcl.Range{}, body, nil, topLevelBlocks)
+	top := p.decodeBlock("the file", hcl.Range{}, body, nil, topLevelBlocks)
 	blocks := map[string]hcl.Blocks{}
 	for _, b := range top.blocks {
 		blocks[b.Type] = append(blocks[b.Type], b)
@@ -67,8 +67,8 @@
 	return blocks
 }
 
-// checkFleetSize reports "fleet" and "member" beside a fleet block, which counts the members. With a link the fleet spans several sites,
-// and the numbers are those of this one.
+// checkFleetSize reports the attributes "fleet" and "member" in a file with a fleet block, because membership determines both numbers.
+// They are allowed together with a link: then the fleet spans several sites, and the attributes count the instances of this site only.
 func (p *parser) checkFleetSize(process *block, f *File) {
 	if f.Fleet == nil || f.Link != nil {
 		return
@@ -80,32 +80,32 @@
 	}
 }
 
-// policySettings returns the policy's settings as far as all clusters have them in common, and reads the tenants.
+// policySettings reads the tenants, and returns the policy settings that all clusters have in common.
 func (p *parser) policySettings(tenants hcl.Blocks, f *File) lbpolicy.Settings {
 	var settings lbpolicy.Settings
 	for _, c := range f.Classes {
 		settings.Classes = append(settings.Classes, c.Class)
 	}
 	for _, b := range tenants {
-		s := p.open("tenant "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"rate"}, nil)
+		s := p.decodeBlock("tenant "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"rate"}, nil)
 		f.Tenants = append(f.Tenants, b.Labels[0])
 		settings.Tenants = append(settings.Tenants, lbpolicy.Tenant{QuotaPerSecond: s.number("rate", 0, 0, 1e9)})
 	}
 	return settings
 }
 
-// fleetSettings reads the place of this instance among others.
+// fleetSettings reads the number of instances, and the index and the zone of this instance.
 func (p *parser) fleetSettings(process *block, f *File, settings *lbpolicy.Settings) {
 	settings.Balancers = process.integer("fleet", 1, 1, maxFleetSize)
 	maxIndex := settings.Balancers - 1
-	if !process.isValid("fleet") && process.has("fleet") { // an invalid number is reported once
+	if !process.isValid("fleet") && process.has("fleet") { // do not report an invalid fleet size again as the upper bound of "member"
 		maxIndex = maxFleetSize - 1
 	}
 	settings.Index = process.integer("member", 0, 0, maxIndex)
 	settings.Zone = max(slices.Index(f.Process.Zones, process.text("zone", "")), 0)
 }
 
-// listeners reads the listeners, and the groups of clients that they admit.
+// listeners reads the listeners and the client groups to which their admission policies refer.
 func (p *parser) listeners(blocks map[string]hcl.Blocks, f *File) {
 	groups := p.clientGroups(blocks["clients"])
 	hasAuthority := false
@@ -120,7 +120,8 @@
 	p.checkCertificateGroups(blocks["clients"], groups)
 }
 
-// checkCertificateGroups reports groups that no client can prove to belong to.
+// checkCertificateGroups reports groups with certificate names. It is called if no listener verifies client certificates, so that no
+// client could be matched to such a group by certificate.
 func (p *parser) checkCertificateGroups(blocks hcl.Blocks, groups []admission.Group) {
 	for i, g := range groups[1:] {
 		if len(g.CertificateNames) > 0 {
@@ -129,7 +130,7 @@
 	}
 }
 
-// checkListeners checks what the listeners share: addresses and descriptors.
+// checkListeners checks that no two listeners have the same address, and that their connections take at most half of the descriptors.
 func (p *parser) checkListeners(blocks hcl.Blocks, f *File) {
 	sum := 0
 	byAddress := map[string]string{}
@@ -138,7 +139,7 @@
 		if other, taken := byAddress[l.Address]; taken {
 			p.report(blocks[i].DefRange, "Address taken", "Listener %q already listens on %s.", other, l.Address)
 		}
-		if _, port, _ := net.SplitHostPort(l.Address); port != "0" { // 0: the system picks one for each
+		if _, port, _ := net.SplitHostPort(l.Address); port != "0" { // port 0: the system assigns each listener a free port
 			byAddress[l.Address] = l.Name
 		}
 	}
@@ -147,10 +148,10 @@
 	}
 }
 
-// fractionTolerance is how far rounding may take a sum of fractions over 1.
+// fractionTolerance is the rounding error by which a sum of fractions may exceed 1.
 const fractionTolerance = 1e-9
 
-// clusters reads the clusters, and checks what they share.
+// clusters reads the clusters, and checks that their reserves add up to at most 100 % and that xds blocks have control planes.
 func (p *parser) clusters(blocks hcl.Blocks, settings lbpolicy.Settings, f *File) {
 	reserved := 0.0
 	for _, b := range blocks {
--- a/internal/gateway/conf/fingerprint.go
+++ b/internal/gateway/conf/fingerprint.go
@@ -11,34 +11,35 @@
 	"silvertrail/internal/fleet/version"
 )
 
-// Fingerprint identifies the content of a file. Comments, spacing, the order of attributes and that of top-level blocks do not change it.
+// Fingerprint identifies the content of a file. It does not depend on comments, on spacing, or on the order of attributes and of top-level
+// blocks.
 type Fingerprint struct {
-	Shared version.Hash // of what all instances of a fleet should have in common
-	Local  version.Hash // of the rest: names, addresses, files
+	Shared version.Hash // hash of the blocks that should be the same on all instances of a fleet
+	Local  version.Hash // hash of the other blocks: names, addresses, files
 }
 
-// sharedBlocks are the types of the blocks that all instances of a fleet should have in common.
+// sharedBlocks lists the types of the blocks that should be the same on all instances of a fleet.
 var sharedBlocks = []string{"class", "tenant", "clients", "cluster", "route"}
 
-// fingerprintOf returns the fingerprint of a body that was parsed without an error.
-func fingerprintOf(body *hclsyntax.Body) (m Fingerprint, err error) {
-	var common, own []string
+// fingerprintOf returns the fingerprint of a body that was parsed without errors.
+func fingerprintOf(body *hclsyntax.Body) (fingerprint Fingerprint, err error) {
+	var shared, local []string
 	for _, b := range body.Blocks {
 		var text strings.Builder
 		if err := writeBlock(&text, b); err != nil {
-			return m, err
+			return fingerprint, err
 		}
 		if slices.Contains(sharedBlocks, b.Type) {
-			common = append(common, text.String())
+			shared = append(shared, text.String())
 		} else {
-			own = append(own, text.String())
+			local = append(local, text.String())
 		}
 	}
-	slices.Sort(common)
-	slices.Sort(own)
-	m.Shared = version.HashOf([]byte(strings.Join(common, "")))
-	m.Local = version.HashOf([]byte(strings.Join(own, "")))
-	return m, nil
+	slices.Sort(shared)
+	slices.Sort(local)
+	fingerprint.Shared = version.HashOf([]byte(strings.Join(shared, "")))
+	fingerprint.Local = version.HashOf([]byte(strings.Join(local, "")))
+	return fingerprint, nil
 }
 
 // writeBlock writes a block in canonical form: attributes ordered by name with their values, then the inner blocks in their order.
@@ -60,8 +61,8 @@
 		}
 		fmt.Fprintf(w, "%s = %s\n", name, text)
 	}
-	for _, in := range b.Body.Blocks {
-		if err := writeBlock(w, in); err != nil {
+	for _, inner := range b.Body.Blocks {
+		if err := writeBlock(w, inner); err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/conf/fleet.go
+++ b/internal/gateway/conf/fleet.go
@@ -21,7 +21,7 @@
 // keyBytes is the length of a fleet's keys (AES-256).
 const keyBytes = 32
 
-// maxVoters bounds the voters, each of which is asked for each request with an idempotency key.
+// maxVoters is the maximum number of voters. Every voter is asked about each request with an idempotency key.
 const maxVoters = 9
 
 // fleetBlock reads the fleet block, or returns nil where there is none.
@@ -31,7 +31,7 @@
 	}
 	p.atMostOne(blocks)
 	b := blocks[0]
-	s := p.open("fleet "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"name", "listen", "advertise", "seeds", "keyring", "voters",
+	s := p.decodeBlock("fleet "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"name", "listen", "advertise", "seeds", "keyring", "voters",
 		"members", "new", "views", "versions", "taking"}, nil)
 	s.require("name", "listen", "keyring")
 	o := &fleet.Options{
@@ -89,7 +89,7 @@
 	return voters
 }
 
-// setKeyTimes sets how long requests with idempotency keys may take, and how long their keys are remembered.
+// setKeyTimes sets the maximum deadline of requests with idempotency keys, and the retention of their keys.
 func setKeyTimes(o *fleet.Options, classes []Class) {
 	o.MaxDeadline = time.Second
 	o.KeyRetention = time.Second
@@ -101,7 +101,7 @@
 	}
 }
 
-// NewKey returns a new key as a keyring holds it.
+// NewKey returns a new random key in the base64 form of keyring files.
 func NewKey() (string, error) {
 	key := make([]byte, keyBytes)
 	if _, err := rand.Read(key); err != nil {
@@ -110,7 +110,7 @@
 	return base64.StdEncoding.EncodeToString(key), nil
 }
 
-// readKeyring reads a file of keys, one on each line in base64, the one that encrypts first.
+// readKeyring reads a file of keys in base64, one per line. The first key encrypts; the others only decrypt.
 func readKeyring(path string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/gateway/conf/ledger.go
+++ b/internal/gateway/conf/ledger.go
@@ -24,7 +24,7 @@
 	}
 	p.atMostOne(blocks)
 	b := blocks[0]
-	s := p.open("ledger", b.DefRange, b.Body, []string{"path", "mode", "gather", "patience", "segment", "held", "size", "age", "names",
+	s := p.decodeBlock("ledger", b.DefRange, b.Body, []string{"path", "mode", "gather", "patience", "segment", "held", "size", "age", "names",
 		"secret", "lost", "clock_error"}, nil)
 	s.require("path")
 	o := &ledger.Options{Dir: p.path(s, "path"), MaxKeys: f.Process.MaxKeys}
--- a/internal/gateway/conf/ledger_test.go
+++ b/internal/gateway/conf/ledger_test.go
@@ -22,7 +22,7 @@
 		MinAge: 125 * time.Second}) || o.Secret != nil || o.IgnoreLosses || f.Classes[0].ServeUnrecorded {
 		t.Errorf("%+v", o)
 	}
-	if parse(t, base).Ledger != nil {
+	if parse(t, baseConfig).Ledger != nil {
 		t.Error("a ledger of its own accord")
 	}
 }
@@ -50,13 +50,13 @@
 		keyed + "ledger {\n path = \"l\"\n}\nledger {\n path = \"m\"\n}\n":                                     "one ledger block at most",
 		"class \"odd\" {\n aim = \"1s\"\n deadline = \"2s\"\n effect = \"safe\"\n unrecorded = \"serve\"\n}\n": `"unrecorded" goes with effect = "keyed" alone`,
 	} {
-		_, err := Parse([]byte(base+text), filepath.Join(folder, "test.hcl"))
+		_, err := Parse([]byte(baseConfig+text), filepath.Join(folder, "test.hcl"))
 		var faults *Error
 		if !errors.As(err, &faults) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "test.hcl:") {
 			t.Errorf("%s\n%v\nwant %s", text, err, want)
 		}
 	}
-	f, err := Parse([]byte(base+keyed+"ledger {\n path = \"l\"\n names = \"hashed\"\n secret = \"good\"\n}\n"), filepath.Join(folder, "test.hcl"))
+	f, err := Parse([]byte(baseConfig+keyed+"ledger {\n path = \"l\"\n names = \"hashed\"\n secret = \"good\"\n}\n"), filepath.Join(folder, "test.hcl"))
 	if err != nil || len(f.Ledger.Secret) != 34 || !f.Classes[1].ServeUnrecorded {
 		t.Errorf("%v", err)
 	}
--- a/internal/gateway/conf/link.go
+++ b/internal/gateway/conf/link.go
@@ -14,10 +14,10 @@
 	"silvertrail/lbpolicy"
 )
 
-// LinkListener is the name by which routes match requests that other sites forward.
+// LinkListener is the listener name by which routes match requests forwarded by other sites.
 const LinkListener = "link"
 
-// maxGatewaysPerSite bounds the addresses of a peer.
+// maxGatewaysPerSite is the maximum number of addresses of a peer.
 const maxGatewaysPerSite = 16
 
 // linkBlock reads the link block, or returns nil where there is none.
@@ -27,7 +27,7 @@
 	}
 	p.atMostOne(blocks)
 	b := blocks[0]
-	s := p.open("link "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"listen", "certificate", "key", "authority", "plain", "heartbeat",
+	s := p.decodeBlock("link "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"listen", "certificate", "key", "authority", "plain", "heartbeat",
 		"silence", "calls", "connections"}, map[string]int{"peer": 1})
 	s.require("listen")
 	o := &peering.Options{
@@ -57,7 +57,7 @@
 	return o
 }
 
-// linkIdentity reads the listen address and the certificate files, which a link on loopback may go without.
+// linkIdentity checks the listen address and reads the certificate files, which are optional for a link on loopback only.
 func (p *parser) linkIdentity(s *block, o *peering.Options) {
 	listen, err := netip.ParseAddrPort(o.Listen)
 	if err != nil && s.has("listen") {
@@ -79,9 +79,9 @@
 	}
 }
 
-// peer reads a peer block: another site, with one address or several.
+// peer reads a peer block: another site with the addresses of its gateways.
 func (p *parser) peer(b *hcl.Block) peering.Peer {
-	n := p.open("peer "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "addresses"}, nil)
+	n := p.decodeBlock("peer "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "addresses"}, nil)
 	peer := peering.Peer{Name: b.Labels[0]}
 	p.checkSiteName(peer.Name, b.LabelRanges[0])
 	addresses := n.list("addresses")
@@ -92,7 +92,7 @@
 		n.report(n.rangeOf("addresses"), "No address", "%s needs one address at least.", n.name)
 	case !n.has("addresses"):
 		n.require("address")
-		addresses = []located{{n.text("address", ""), n.rangeOf("address")}}
+		addresses = []locatedText{{n.text("address", ""), n.rangeOf("address")}}
 	}
 	if len(addresses) > maxGatewaysPerSite {
 		n.report(n.rangeOf("addresses"), "Out of range", "%s has %d gateways; %d are the most.", n.name, len(addresses), maxGatewaysPerSite)
@@ -110,7 +110,8 @@
 	return peer
 }
 
-// requireVoters reports a class with idempotency keys without voters: a retry through another site could take effect a second time.
+// requireVoters reports a class with idempotency keys if the fleet has no voters: without them a retry through another site could take
+// effect a second time.
 func (p *parser) requireVoters(s *block, f *File) {
 	if f.Fleet != nil && len(f.Fleet.Voters) > 0 {
 		return
@@ -123,7 +124,7 @@
 		"repeat through another sala could take effect a second time.", f.Classes[i].Name)
 }
 
-// checkSiteName checks the name of a site, which is also that of its certificate and part of a qualified cluster name.
+// checkSiteName checks the name of a site. The site's certificate has the same name, and qualified cluster names include it.
 func (p *parser) checkSiteName(name string, at hcl.Range) {
 	if name == "" || len(name) > 63 || strings.ContainsFunc(name, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-'
@@ -132,7 +133,7 @@
 	}
 }
 
-// path reads a path. A relative one is resolved against the folder of the configuration file.
+// path reads a file path. A relative path is resolved against the folder of the configuration file.
 func (p *parser) path(s *block, name string) string {
 	path := s.text(name, "")
 	if path != "" && !filepath.IsAbs(path) {
@@ -141,7 +142,7 @@
 	return path
 }
 
-// forwardSites reads the sites that a route's requests may be forwarded to.
+// forwardSites reads the sites to which a route may forward requests.
 func (p *parser) forwardSites(s *block, f *File) (out []string) {
 	for _, l := range s.list("cross") {
 		switch {
--- a/internal/gateway/conf/listeners.go
+++ b/internal/gateway/conf/listeners.go
@@ -8,9 +8,9 @@
 	"silvertrail/internal/edge/admission"
 )
 
-// listener reads a listener block.
+// listener reads a listener block. The default limit of connections is the parameter connections.
 func (p *parser) listener(b *hcl.Block, connections int, groups []admission.Group) Listener {
-	s := p.open("listener "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "connections", "trusted", "per_address", "rate", "burst",
+	s := p.decodeBlock("listener "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "connections", "trusted", "per_address", "rate", "burst",
 		"guard", "grace", "bits_ipv4", "bits_ipv6", "free_factor", "patience"}, map[string]int{"reserve": 1, "tls": 0})
 	s.require("address")
 	l := Listener{Name: b.Labels[0], Address: s.text("address", "127.0.0.1:0"), TrustsForwarded: s.boolean("trusted"),
--- a/internal/gateway/conf/parser.go
+++ b/internal/gateway/conf/parser.go
@@ -7,16 +7,16 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// parser reads a file. It reports all errors and goes on.
+// parser reads a configuration file. After an error it continues, so that all errors are reported at once.
 type parser struct {
 	blockReader
-	folder string                          // of the file, for relative paths
+	folder string                          // folder of the file, against which relative paths are resolved
 	names  map[string]map[string]hcl.Range // defined names by block type
 }
 
 const maxNameLength = 100
 
-// defineName records a block's label, which must be new among its type.
+// defineName records a block's label, which must be unique among the blocks of its type.
 func (p *parser) defineName(b *hcl.Block) {
 	name := b.Labels[0]
 	if p.names[b.Type] == nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// requireDefined reports a name that no block of the type defines, and returns whether one does.
-func (p *parser) requireDefined(blockType string, l located) bool {
+// requireDefined reports an error unless a block of the type defines the name. It returns whether the name is defined.
+func (p *parser) requireDefined(blockType string, l locatedText) bool {
 	if _, ok := p.names[blockType][l.text]; ok {
 		return true
 	}
--- a/internal/gateway/conf/process.go
+++ b/internal/gateway/conf/process.go
@@ -6,11 +6,11 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// process reads the process block, which may be missing.
+// process reads the process block. The block is optional: without it, all settings have their defaults.
 func (p *parser) process(blocks hcl.Blocks) (out Process, s *block) {
 	s = &block{blockReader: &p.blockReader, name: "process"}
 	if len(blocks) > 0 {
-		s = p.open("process", blocks[0].DefRange, blocks[0].Body, []string{"zones", "zone", "sockets", "calls", "body_memory", "stop",
+		s = p.decodeBlock("process", blocks[0].DefRange, blocks[0].Body, []string{"zones", "zone", "sockets", "calls", "body_memory", "stop",
 			"default_class", "fleet", "member", "keys", "control"}, nil)
 	}
 	p.atMostOne(blocks)
@@ -25,7 +25,7 @@
 	}
 	switch {
 	case named && s.has("zone"):
-		p.requireDefined("zone", located{s.text("zone", ""), s.rangeOf("zone")})
+		p.requireDefined("zone", locatedText{s.text("zone", ""), s.rangeOf("zone")})
 	case named:
 		s.require("zone")
 	}
--- a/internal/gateway/conf/xds.go
+++ b/internal/gateway/conf/xds.go
@@ -31,7 +31,7 @@
 		p.report(b.DefRange, "Twice", "There is one xds block at most at the top of a file.")
 	}
 	b := blocks[0]
-	s := p.open("xds", b.DefRange, b.Body, []string{"node", "node_cluster", "region", "zone", "sub_zone", "variant", "all", "hold", "missing", "patience",
+	s := p.decodeBlock("xds", b.DefRange, b.Body, []string{"node", "node_cluster", "region", "zone", "sub_zone", "variant", "all", "hold", "missing", "patience",
 		"trial", "backoff", "backoff_most", "quiet", "max_message", "state", "bootstrap"}, map[string]int{"plane": 1})
 	o := &bootstrap.Options{Wildcard: s.boolean("all"),
 		DeferTime:       s.duration("hold", 30*time.Second, 0, time.Hour),
@@ -46,19 +46,19 @@
 	if s.has("bootstrap") {
 		p.bootstrap(s, o)
 	}
-	host, _ := os.Hostname()
+	hostname, _ := os.Hostname()
 	if o.Node.ID == "" {
-		o.Node.ID = host
+		o.Node.ID = hostname
 	}
-	for name, to := range map[string]*string{"node": &o.Node.ID, "node_cluster": &o.Node.Cluster, "region": &o.Node.Region, "zone": &o.Node.Zone, "sub_zone": &o.Node.SubZone} {
-		*to = s.text(name, *to)
+	for name, field := range map[string]*string{"node": &o.Node.ID, "node_cluster": &o.Node.Cluster, "region": &o.Node.Region, "zone": &o.Node.Zone, "sub_zone": &o.Node.SubZone} {
+		*field = s.text(name, *field)
 	}
 	for _, inner := range s.blocks {
-		if pl, ok := p.controlPlane(inner); ok {
-			if slices.ContainsFunc(o.ControlPlanes, func(is bootstrap.ControlPlane) bool { return is.Name == pl.Name }) {
-				p.report(inner.LabelRanges[0], "Named twice", "A plane named %q is there already.", pl.Name)
+		if plane, ok := p.controlPlane(inner); ok {
+			if slices.ContainsFunc(o.ControlPlanes, func(other bootstrap.ControlPlane) bool { return other.Name == plane.Name }) {
+				p.report(inner.LabelRanges[0], "Named twice", "A plane named %q is there already.", plane.Name)
 			}
-			o.ControlPlanes = append(o.ControlPlanes, pl)
+			o.ControlPlanes = append(o.ControlPlanes, plane)
 		}
 	}
 	switch {
@@ -70,7 +70,7 @@
 	return o
 }
 
-// bootstrap reads the control planes and the node of a bootstrap file. The control planes of the block come after them.
+// bootstrap reads the control planes and the node of a bootstrap file. The control planes of the xds block are appended to them later.
 func (p *parser) bootstrap(s *block, o *bootstrap.Options) {
 	path := p.path(s, "bootstrap")
 	info, err := os.Stat(path)
@@ -90,27 +90,28 @@
 	o.ControlPlanes, o.Node = b.ControlPlanes, b.Node
 }
 
+// controlPlane reads the block of a control plane, which has an address or a file. It returns false if neither is usable.
 func (p *parser) controlPlane(b *hcl.Block) (bootstrap.ControlPlane, bool) {
-	s := p.open("plane "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "file", "plain", "certificate", "key", "authority", "host"}, nil)
+	s := p.decodeBlock("plane "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "file", "plain", "certificate", "key", "authority", "host"}, nil)
 	out := bootstrap.ControlPlane{Name: b.Labels[0], Address: s.text("address", ""), File: p.path(s, "file"), Insecure: s.boolean("plain"), ServerName: s.text("host", ""),
 		TLS: certs.Files{Certificate: p.path(s, "certificate"), Key: p.path(s, "key"), Authority: p.path(s, "authority")}}
 	secured := []string{"certificate", "key", "authority", "host"}
-	without := func(why string, names ...string) {
+	rejectWith := func(other string, names ...string) {
 		for _, name := range names {
 			if s.has(name) {
-				s.report(s.rangeOf(name), "Without a meaning", "%q goes without %q alone.", name, why)
+				s.report(s.rangeOf(name), "Without a meaning", "%q goes without %q alone.", name, other)
 			}
 		}
 	}
 	switch {
 	case s.has("file"):
-		without("file", append(secured, "address", "plain")...)
+		rejectWith("file", append(secured, "address", "plain")...)
 		return out, out.File != ""
 	case !s.has("address"):
 		s.report(s.at, "No address", "%s needs an \"address\" or a \"file\".", s.name)
 		return out, false
 	case out.Insecure:
-		without("plain", secured...)
+		rejectWith("plain", secured...)
 	case (out.TLS.Certificate == "") != (out.TLS.Key == ""):
 		s.report(s.at, "Half a certificate", "\"certificate\" and \"key\" go together.")
 	}
@@ -120,7 +121,7 @@
 	return out, true
 }
 
-// xdsSource reads a cluster's xds block.
+// xdsSource reads the xds block of a cluster, which may have one at most.
 func (p *parser) xdsSource(s *block, c *cluster.Config, zones []string) {
 	twice := false
 	for _, b := range s.blocks {
@@ -131,14 +132,14 @@
 			p.report(b.DefRange, "Twice", "%s has one xds block at most.", s.name)
 		}
 		twice = true
-		e := p.open("xds of "+s.name, b.DefRange, b.Body, []string{"resource", "level", "part", "zone", "server"}, nil)
+		e := p.decodeBlock("xds of "+s.name, b.DefRange, b.Body, []string{"resource", "level", "part", "zone", "server"}, nil)
 		x := &cluster.XDS{Resource: e.text("resource", c.Name), Priority: cache.AllPriorities, Zones: zones, Zone: p.zone(e, zones),
 			ZoneField: e.oneOf("part", "zone", "region", "zone", "sub_zone"), Server: e.text("server", "")}
 		if e.has("level") {
 			x.Priority = e.integer("level", 0, 0, 127)
 		}
 		if x.Server == "" {
-			x.Server, _ = cluster.SystemServer() // needed for clusters of names alone
+			x.Server, _ = cluster.SystemServer() // only needed if the endpoints are given as host names
 		} else if _, port, err := net.SplitHostPort(x.Server); err != nil || port == "" {
 			e.report(e.rangeOf("server"), "Not an address", "%q is no address and port.", x.Server)
 		}
