--- a/internal/gateway/conf/clients_test.go
+++ b/internal/gateway/conf/clients_test.go
@@ -62,16 +62,18 @@
 }
 `
 
-func TestClients(t *testing.T) {
+// Reads the client groups, their networks from attributes and from a file, and the admission policy of a listener. Then breaks the sample in
+// one place at a time: each error must be reported.
+func TestClientGroupsAreReadAndTheirErrorsReported(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "x.hcl")
-	list := func(text string) {
+	writeNetworks := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(filepath.Join(folder, "secretarias.txt"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	list("# offices\n10.30.0.0/24 # norte\n\n 10.30.1.1-10.30.1.2\n")
+	writeNetworks("# offices\n10.30.0.0/24 # norte\n\n 10.30.1.1-10.30.1.2\n")
 	f, err := Parse([]byte(clientsSample), path)
 	if err != nil {
 		t.Fatal(err)
@@ -79,36 +81,36 @@
 	l := f.Listeners[0]
 	p := l.Admission
 	if p.Capacity != 100 || p.IPv4Bits != 32 || p.IPv6Bits != 56 || p.FreeFactor != 8 || p.IdleProtection != 3*time.Second || p.BlockWhenFull || l.TLS.Files.Key != filepath.Join(folder, "gate.key") {
-		t.Errorf("%+v %+v", p, l.TLS)
+		t.Errorf("admission policy %+v or TLS settings %+v differ from the file", p, l.TLS)
 	}
 	if g := p.Groups[0]; g.Name != admission.Others || g.MaxPerSource != 40 || g.Rate != 20 || g.Burst != 60 {
-		t.Errorf("%+v", g)
+		t.Errorf("group of all other clients differs from the file: %+v", g)
 	}
 	if g := p.Groups[1]; g.Reserve != 30 || g.MaxConns != 60 || g.MaxPerSource != 30 || len(g.CertificateNames) != 2 {
-		t.Errorf("%+v", g)
+		t.Errorf("group secretarias differs from the file: %+v", g)
 	}
 	if g := p.Groups[2]; g.Weight != 50 || g.Burst != 3 {
-		t.Errorf("%+v", g)
+		t.Errorf("group ciber differs from the file: %+v", g)
 	}
-	// Whom an address is of, by way of the door itself: the longest network counts.
-	d := admission.New(p, time.Unix(0, 0))
+	// The admission controller assigns an address to the group with the longest matching prefix.
+	controller := admission.New(p, time.Unix(0, 0))
 	for addr, want := range map[string]string{"10.20.1.1": "secretarias", "10.20.9.1": "ciber", "192.0.2.7": "secretarias", "192.0.2.8": "others",
 		"198.51.100.12": "secretarias", "198.51.100.13": "others", "2001:db8:5:1::2": "secretarias", "10.30.0.200": "secretarias", "10.30.1.2": "secretarias",
 		"10.30.1.3": "others", "::ffff:203.0.113.4": "echados"} {
-		if got := d.AddressStatus(time.Unix(0, 0), netip.MustParseAddr(addr)).Group; got != want {
-			t.Errorf("%s is of %s, not %s", addr, got, want)
+		if got := controller.AddressStatus(time.Unix(0, 0), netip.MustParseAddr(addr)).Group; got != want {
+			t.Errorf("address %s belongs to group %s, want %s", addr, got, want)
 		}
 	}
 
-	fails := func(text, want string) {
+	failsToParse := func(text, want string) {
 		t.Helper()
 		_, err := Parse([]byte(text), path)
-		var faults *Error
-		if !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+		var parseErr *Error
+		if !errors.As(err, &parseErr) || !strings.Contains(err.Error(), want) {
+			t.Errorf("want error with %q, got %v", want, err)
 		}
 	}
-	for old, want := range map[string]struct{ with, fault string }{
+	for original, edit := range map[string]struct{ replacement, wantError string }{
 		`"192.0.2.7"`:                            {`"192.0.2"`, `x.hcl:8:35: Not a network`},
 		`"10.20.0.0/16"`:                         {`"10.20.1.0/16"`, `10.20.0.0/16 is meant`},
 		`networks = ["10.20.9.0/24"]`:            {`networks = ["10.20.0.0/16"]`, `Of two groups: 10.20.0.0/16 is of clients "secretarias" already`},
@@ -127,14 +129,14 @@
 		"reserve \"secretarias\" {\n":            {"reserve \"echados\" {\n places = 1\n }\n reserve \"secretarias\" {\n", `are denied`},
 		"    authority   = \"callers.pem\"\n  }": {"    required = true\n  }", `No authority`},
 	} {
-		broken := strings.Replace(clientsSample, old, want.with, 1)
+		broken := strings.Replace(clientsSample, original, edit.replacement, 1)
 		if broken == clientsSample {
-			t.Fatalf("the sample does not hold %s", old)
+			t.Fatalf("the sample does not contain %s", original)
 		}
-		fails(broken, want.fault)
+		failsToParse(broken, edit.wantError)
 	}
-	list("10.30.0.0/24\n10.30.1.x\n")
-	fails(clientsSample, `secretarias.txt:2:1: Not a network`)
-	list("10.20.9.0/24\n")
-	fails(clientsSample, `Of two groups`)
+	writeNetworks("10.30.0.0/24\n10.30.1.x\n")
+	failsToParse(clientsSample, `secretarias.txt:2:1: Not a network`)
+	writeNetworks("10.20.9.0/24\n")
+	failsToParse(clientsSample, `Of two groups`)
 }
--- a/internal/gateway/conf/conf_test.go
+++ b/internal/gateway/conf/conf_test.go
@@ -12,6 +12,7 @@
 	"silvertrail/lbpolicy"
 )
 
+// baseConfig is the shortest valid configuration of a gateway. Tests append blocks to it.
 const baseConfig = `
 class "read" {
   aim      = "1s"
@@ -28,6 +29,7 @@
 }
 `
 
+// parse parses a configuration without errors.
 func parse(t *testing.T, text string) *File {
 	t.Helper()
 	f, err := Parse([]byte(text), "test.hcl")
@@ -37,40 +39,40 @@
 	return f
 }
 
-func TestSample(t *testing.T) {
+func TestSampleFileIsRead(t *testing.T) {
 	f, err := Load("../../../deploy/silvertrail.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(f.Clusters) != 3 || f.Routes.Len() != 5 || len(f.Listeners) != 2 || f.Process.ShutdownTime != 5*time.Second {
-		t.Errorf("%+v", f)
+		t.Errorf("configuration differs from the sample file: %+v", f)
 	}
 	c := f.Clusters[0]
 	if c.Name != "portal" || len(c.Sources) != 2 || c.ReserveFraction != 0.3 || c.MaxFraction != 0.6 || c.Policy.SlowStart != 20*time.Second ||
 		c.Policy.Balancers != 3 || c.ConnectTimeout != 250*time.Millisecond || len(c.Policy.ReportFields) != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("cluster portal differs from the sample file: %+v", c)
 	}
 	reserva := f.Classes[1]
 	if reserva.Effect != lbpolicy.KeyedIdempotent || reserva.Scope != lbpolicy.ScopeZone || reserva.Window != 7500*time.Millisecond || reserva.PriorityWeight != 10 {
-		t.Errorf("%+v", reserva)
+		t.Errorf("class reserva differs from the sample file: %+v", reserva)
 	}
 	found, ok := f.Routes.Find(&route.Request{Listener: "public", Host: "a.inscripciones.example", Path: "/schools/9/seats", Method: "GET"})
 	if !ok || found.Rule.Name != "seats" || found.Rule.Timeout != 1500*time.Millisecond || found.Rule.Failover != "portal-sur" {
-		t.Errorf("%+v", found)
+		t.Errorf("request matches another route than 'seats' of the sample file: %+v", found)
 	}
 }
 
-func TestDefaults(t *testing.T) {
+func TestMissingSettingsHaveDefaults(t *testing.T) {
 	f := parse(t, baseConfig)
 	c := f.Clusters[0]
 	if f.Process.Sockets != 1024 || c.Policy.MaxAttempts != 3 || c.MaxFraction != 1 || c.ReserveFraction != 0.5 || f.Listeners[0].MaxConns != 512 ||
 		c.Sources[0].Static.Endpoints[0].Zone != "local" {
-		t.Errorf("%+v", f)
+		t.Errorf("settings differ from their defaults: %+v", f)
 	}
 }
 
-// Each fault is told where it stands and what is the matter; the nearest known name is told with one that is not known.
-func TestFaults(t *testing.T) {
+// Each error has its position in the file and its cause. An error about an unknown name suggests the nearest known name.
+func TestInvalidConfigurationIsRejectedWithPositionAndCause(t *testing.T) {
 	for text, want := range map[string]string{
 		`proces {}`:                                            `test.hcl:15:1: Unsupported block type`,
 		`clutser "x" {}`:                                       `"cluster"`,
@@ -131,62 +133,62 @@
 		"route \"r\" {":                                                                                              `test.hcl:15:`,
 	} {
 		f, err := Parse([]byte(baseConfig+text), "test.hcl")
-		var faults *Error
-		if f != nil || !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s\nwant %s, got: %v", text, want, err)
-		} else if !strings.Contains(faults.Text(), "on test.hcl line ") {
-			t.Errorf("no lines in: %s", faults.Text())
+		var parseErr *Error
+		if f != nil || !errors.As(err, &parseErr) || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s\nwant error with %s, got: %v", text, want, err)
+		} else if !strings.Contains(parseErr.Text(), "on test.hcl line ") {
+			t.Errorf("error text does not show the lines of the file: %s", parseErr.Text())
 		}
 	}
 	if _, err := Parse([]byte("\n"), "test.hcl"); err == nil || !strings.Contains(err.Error(), "No class") || !strings.Contains(err.Error(), "No listener") {
-		t.Errorf("an empty file: %v", err)
+		t.Errorf("empty file: want errors 'No class' and 'No listener', got %v", err)
 	}
 }
 
-// What is unreadable is told once, and not again by what is measured against it.
-func TestToldOnce(t *testing.T) {
+// An invalid value that is also the bound of another attribute is reported once, and not again for the other attribute.
+func TestInvalidBoundIsReportedOnce(t *testing.T) {
 	for _, text := range []string{
 		"class \"w\" {\n aim = \"3s\"\n deadline = \"5 parsecs\"\n effect = \"safe\"\n}",
 		"process {\n fleet = \"many\"\n member = 3\n}",
 	} {
 		_, err := Parse([]byte(baseConfig+text), "test.hcl")
-		var faults *Error
-		if !errors.As(err, &faults) || len(faults.Diagnostics) != 1 {
-			t.Errorf("%s\n%v", text, err)
+		var parseErr *Error
+		if !errors.As(err, &parseErr) || len(parseErr.Diagnostics) != 1 {
+			t.Errorf("%s\nwant exactly one error, got: %v", text, err)
 		}
 	}
 }
 
-// All faults of a file are told at once, in its order.
-func TestAllFaults(t *testing.T) {
+// All errors of a file are reported at once, in the order of their positions.
+func TestAllErrorsAreReportedInFileOrder(t *testing.T) {
 	_, err := Parse([]byte(baseConfig+"route \"s\" {\n match {\n path = \"/a//b\"\n }\n cluster = \"c\"\n}\nroute \"r\" {\n cluster = \"x\"\n timeout = 5\n class = \"q\"\n}\nprocess {\n stop = \"x\"\n}\n"), "test.hcl")
-	var faults *Error
-	if !errors.As(err, &faults) || len(faults.Diagnostics) != 5 {
-		t.Fatalf("%v", err)
+	var parseErr *Error
+	if !errors.As(err, &parseErr) || len(parseErr.Diagnostics) != 5 {
+		t.Fatalf("want five errors, got %v", err)
 	}
 	line := 0
-	for _, d := range faults.Diagnostics {
+	for _, d := range parseErr.Diagnostics {
 		if d.Subject.Start.Line < line {
-			t.Errorf("out of order: %v", err)
+			t.Errorf("errors are not in the order of their lines: %v", err)
 		}
 		line = d.Subject.Start.Line
 	}
 }
 
-func TestSizes(t *testing.T) {
+func TestParseSizeRequiresNumberAndUnit(t *testing.T) {
 	for text, want := range map[string]int64{"64KiB": 64 << 10, "1.5MiB": 3 << 19, "2GB": 2e9, "10 kB": 10e3, "7B": 7} {
 		if n, err := parseSize(text); err != nil || n != want {
-			t.Errorf("%s: %d, %v", text, n, err)
+			t.Errorf("size %s parsed to %d, error %v", text, n, err)
 		}
 	}
 	for _, text := range []string{"", "5", "KiB", "-1KiB", "NaNKiB", "1e300GiB", "5 apples"} {
 		if n, err := parseSize(text); err == nil {
-			t.Errorf("%s: %d", text, n)
+			t.Errorf("invalid size %s parsed to %d, want an error", text, n)
 		}
 	}
 }
 
-// Whatever the text: no panic, and an error that tells something, or a file whose routes can be searched.
+// For any text, Parse returns either an error with a message or a file whose routes can be matched. It never panics.
 func FuzzParse(f *testing.F) {
 	f.Add(baseConfig)
 	if text, err := os.ReadFile("../../../deploy/silvertrail.hcl"); err == nil {
@@ -197,7 +199,7 @@
 		file, err := Parse([]byte(text), "fuzz.hcl")
 		if err != nil {
 			if err.Error() == "" || file != nil {
-				t.Fatal("an error that tells nothing")
+				t.Fatal("Parse returned an error without a message, or both an error and a file")
 			}
 			return
 		}
--- a/internal/gateway/conf/fleet_test.go
+++ b/internal/gateway/conf/fleet_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// The sample of a fleet can be used as it stands, with a keyring beside it.
-func TestFleetSample(t *testing.T) {
+// The sample file of a fleet is valid if the keyring file is in its folder. Errors in its attributes are reported.
+func TestFleetSampleIsReadAndItsErrorsReported(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/silvertrail-fleet.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	var ring strings.Builder
-	ring.WriteString("# the fleet's keys\n\n")
+	var keyring strings.Builder
+	keyring.WriteString("# the fleet's keys\n\n")
 	for range 2 {
 		key, err := NewKey()
 		if err != nil {
 			t.Fatal(err)
 		}
-		ring.WriteString(key + "\n")
+		keyring.WriteString(key + "\n")
 	}
 	path := filepath.Join(dir, "fleet.hcl")
-	for name, content := range map[string]string{"fleet.keys": ring.String(), "fleet.hcl": string(text)} {
+	for name, content := range map[string]string{"fleet.keys": keyring.String(), "fleet.hcl": string(text)} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -38,9 +38,9 @@
 	o := f.Fleet
 	if o == nil || o.FleetName != "rio-claro" || len(o.Voters) != 3 || len(o.Seeds) != 2 || len(o.Keyring) != 2 || o.NewFleet ||
 		o.MaxDeadline != 5*time.Second || o.KeyRetention != 130*time.Second || f.Control != filepath.Join(dir, "silvertrail.sock") {
-		t.Errorf("%+v", o)
+		t.Errorf("fleet options differ from the sample file: %+v", o)
 	}
-	for old, want := range map[string]struct{ with, fault string }{
+	for original, edit := range map[string]struct{ replacement, wantError string }{
 		`"centro-2", "norte-1"]`:              {`"centro-1"]`, "is empty or a voter already"},
 		`"fleet.keys"`:                        {`"fleet.hcl"`, "fleet.hcl, line 3: not 32 bytes in base64"},
 		`listen    = "127.0.0.1:7946"`:        {`listen    = "here"`, "Not an address"},
@@ -49,14 +49,14 @@
 		`zone    = "sala-centro"` + "\n  con": {`zone    = "sala-centro"` + "\n  fleet = 3\n  con", "Told twice"},
 		`members   = 32`:                      {`memebers = 32`, `Did you mean "members"?`},
 	} {
-		broken := strings.Replace(string(text), old, want.with, 1)
+		broken := strings.Replace(string(text), original, edit.replacement, 1)
 		if broken == string(text) {
-			t.Fatalf("the sample does not hold %s", old)
+			t.Fatalf("the sample does not contain %s", original)
 		}
 		_, err := Parse([]byte(broken), path)
-		var faults *Error
-		if !errors.As(err, &faults) || !strings.Contains(err.Error(), want.fault) {
-			t.Errorf("%s: want %s, got %v", want.with, want.fault, err)
+		var parseErr *Error
+		if !errors.As(err, &parseErr) || !strings.Contains(err.Error(), edit.wantError) {
+			t.Errorf("replaced by %s: want error with %s, got %v", edit.replacement, edit.wantError, err)
 		}
 	}
 }
--- a/internal/gateway/conf/ledger_test.go
+++ b/internal/gateway/conf/ledger_test.go
@@ -11,7 +11,7 @@
 	"silvertrail/internal/ledger/commit"
 )
 
-func TestLedgerSample(t *testing.T) {
+func TestLedgerSampleIsRead(t *testing.T) {
 	f, err := Load("../../../deploy/silvertrail-ledger.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -20,14 +20,14 @@
 	if o == nil || filepath.Base(o.Dir) != "ledger" || o.Commit != (commit.Config{Mode: commit.GroupCommit, MaxGroupDelay: 3 * time.Millisecond,
 		SlowDiskTime: 100 * time.Millisecond, SegmentBytes: 64 << 20, MaxPendingBytes: 4 << 20}) || o.Retention != (commit.Retention{MaxAge: 720 * time.Hour, MaxBytes: 4 << 30,
 		MinAge: 125 * time.Second}) || o.Secret != nil || o.IgnoreLosses || f.Classes[0].ServeUnrecorded {
-		t.Errorf("%+v", o)
+		t.Errorf("ledger options differ from the sample file: %+v", o)
 	}
 	if parse(t, baseConfig).Ledger != nil {
-		t.Error("a ledger of its own accord")
+		t.Error("a file without a ledger block has ledger options")
 	}
 }
 
-func TestLedgerFaults(t *testing.T) {
+func TestInvalidLedgerIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	for name, text := range map[string]string{"good": strings.Repeat("secret ", 5), "short": "short\n"} {
 		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
@@ -51,13 +51,13 @@
 		"class \"odd\" {\n aim = \"1s\"\n deadline = \"2s\"\n effect = \"safe\"\n unrecorded = \"serve\"\n}\n": `"unrecorded" goes with effect = "keyed" alone`,
 	} {
 		_, err := Parse([]byte(baseConfig+text), filepath.Join(folder, "test.hcl"))
-		var faults *Error
-		if !errors.As(err, &faults) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "test.hcl:") {
-			t.Errorf("%s\n%v\nwant %s", text, err, want)
+		var parseErr *Error
+		if !errors.As(err, &parseErr) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "test.hcl:") {
+			t.Errorf("%s\nerror %v\nwant %s", text, err, want)
 		}
 	}
 	f, err := Parse([]byte(baseConfig+keyed+"ledger {\n path = \"l\"\n names = \"hashed\"\n secret = \"good\"\n}\n"), filepath.Join(folder, "test.hcl"))
 	if err != nil || len(f.Ledger.Secret) != 34 || !f.Classes[1].ServeUnrecorded {
-		t.Errorf("%v", err)
+		t.Errorf("ledger with hashed names: secret or unrecorded policy differs from the file, error %v", err)
 	}
 }
--- a/internal/gateway/conf/link_test.go
+++ b/internal/gateway/conf/link_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The sample of a linked gateway can be used as it stands, with a keyring beside it, and what is wrong with one is told.
-func TestLinkSample(t *testing.T) {
+// The sample file of a linked gateway is valid if the keyring file is in its folder. Errors in its attributes are reported.
+func TestLinkSampleIsReadAndItsErrorsReported(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/silvertrail-salas.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 	o := f.Link
 	if o == nil || o.Site != "centro" || len(o.Peers) != 2 || o.Peers[1].Addresses[0] != "127.0.0.1:7952" || o.HeartbeatTimeout != 300*time.Millisecond ||
 		o.Connections != 2 || o.Identity.Key != filepath.Join(dir, "centro.key") || len(o.PriorityWeights) != 2 {
-		t.Errorf("%+v", o)
+		t.Errorf("link options differ from the sample file: %+v", o)
 	}
-	for old, want := range map[string]struct{ with, fault string }{
+	for original, edit := range map[string]struct{ replacement, wantError string }{
 		`link "centro"`:                        {`link "Centro"`, "Unusable name"},
 		`address = "127.0.0.1:7952"`:           {`addresses = ["127.0.0.1:7952", "x"]`, `"x" is no address and port`},
 		"  peer \"norte\" {\n":                 {"  peer \"norte\" {\n    addresses = [\"127.0.0.1:1\"]\n", "Told twice"},
@@ -47,20 +47,20 @@
 		`listener "public"`:                    {`listener "link"`, "Name taken"},
 		`key         = "centro.key"`:           {`key = "centro.key"` + "\n plain = true", "Without a meaning"},
 	} {
-		broken := strings.Replace(string(text), old, want.with, 1)
+		broken := strings.Replace(string(text), original, edit.replacement, 1)
 		if broken == string(text) {
-			t.Fatalf("the sample does not hold %s", old)
+			t.Fatalf("the sample does not contain %s", original)
 		}
 		_, err := Parse([]byte(broken), path)
-		var faults *Error
-		if !errors.As(err, &faults) || !strings.Contains(err.Error(), want.fault) {
-			t.Errorf("%s: want %s, got %v", want.with, want.fault, err)
+		var parseErr *Error
+		if !errors.As(err, &parseErr) || !strings.Contains(err.Error(), edit.wantError) {
+			t.Errorf("replaced by %s: want error with %s, got %v", edit.replacement, edit.wantError, err)
 		}
 	}
-	// Without the link block each crossing is a fault, and told once.
+	// Without the link block, each site to which a route forwards is an error and is reported once.
 	head, rest, _ := strings.Cut(string(text), "\nlink ")
 	_, rest, _ = strings.Cut(rest, "\n}\n")
 	if _, err := Parse([]byte(head+rest), path); err == nil || strings.Count(err.Error(), "No link") != 4 {
-		t.Errorf("%v", err)
+		t.Errorf("want 'No link' four times, got %v", err)
 	}
 }
