--- a/internal/gateway/conf/clients.go
+++ b/internal/gateway/conf/clients.go
@@ -46,26 +46,26 @@
 // clientGroup reads a clients block, and reports networks and certificate names that another group in taken already has.
 func (p *parser) clientGroup(b *hcl.Block, taken groupNames) admission.Group {
 	s := p.decodeBlock("clients "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"networks", "file", "certificates", "deny", "per_address", "rate", "burst", "weight"}, nil)
-	g := admission.Group{Name: b.Labels[0], Deny: s.boolean("deny"), Weight: s.number("weight", 1, 0.01, 1e6)}
-	if g.Name == admission.Others {
-		p.report(b.LabelRanges[0], "Name taken", "%q are those who are of no clients block.", g.Name)
-	}
-	p.sourceLimits(s, &g)
-	p.groupNetworks(s, &g, taken)
-	p.groupCertificates(s, &g, taken)
-	if len(g.Networks)+len(g.CertificateNames) == 0 && !s.has("file") && !s.has("networks") && !s.has("certificates") {
+	group := admission.Group{Name: b.Labels[0], Deny: s.boolean("deny"), Weight: s.number("weight", 1, 0.01, 1e6)}
+	if group.Name == admission.Others {
+		p.report(b.LabelRanges[0], "Name taken", "%q are those who are of no clients block.", group.Name)
+	}
+	p.sourceLimits(s, &group)
+	p.groupNetworks(s, &group, taken)
+	p.groupCertificates(s, &group, taken)
+	if len(group.Networks)+len(group.CertificateNames) == 0 && !s.has("file") && !s.has("networks") && !s.has("certificates") {
 		s.report(s.at, "Nobody", "%s needs \"networks\", a \"file\" of them, or \"certificates\".", s.name)
 	}
 	for _, name := range []string{"per_address", "rate", "burst", "weight"} {
-		if g.Deny && s.has(name) {
+		if group.Deny && s.has(name) {
 			s.report(s.rangeOf(name), "Without a meaning", "%q goes without \"deny\" alone.", name)
 		}
 	}
-	return g
+	return group
 }
 
 // groupNetworks reads the networks of a group, from the attribute "networks" and from the file.
-func (p *parser) groupNetworks(s *block, g *admission.Group, taken groupNames) {
+func (p *parser) groupNetworks(s *block, group *admission.Group, taken groupNames) {
 	var networks []locatedNetwork
 	for _, l := range s.list("networks") {
 		prefixes, err := parseNetwork(l.text)
@@ -80,16 +80,16 @@
 		networks = append(networks, p.networksFile(s)...)
 	}
 	for _, n := range networks {
-		if other, ok := taken.networks[n.network]; ok && other != g.Name {
+		if other, ok := taken.networks[n.network]; ok && other != group.Name {
 			p.report(n.at, "Of two groups", "%s is of clients %q already.", n.network, other)
 		}
-		taken.networks[n.network] = g.Name
-		g.Networks = append(g.Networks, n.network)
+		taken.networks[n.network] = group.Name
+		group.Networks = append(group.Networks, n.network)
 	}
 }
 
 // groupCertificates reads the certificate names of a group: host names, or a wildcard for all names under a domain.
-func (p *parser) groupCertificates(s *block, g *admission.Group, taken groupNames) {
+func (p *parser) groupCertificates(s *block, group *admission.Group, taken groupNames) {
 	for _, l := range s.list("certificates") {
 		name := strings.ToLower(l.text)
 		base := strings.TrimPrefix(name, "*.")
@@ -100,16 +100,16 @@
 		if other, ok := taken.certificates[name]; ok {
 			p.report(l.at, "Of two groups", "%q is of clients %q already.", l.text, other)
 		}
-		taken.certificates[name] = g.Name
-		g.CertificateNames = append(g.CertificateNames, name)
+		taken.certificates[name] = group.Name
+		group.CertificateNames = append(group.CertificateNames, name)
 	}
 }
 
 // sourceLimits reads the limits that apply to each source address of a group.
-func (p *parser) sourceLimits(s *block, g *admission.Group) {
-	g.MaxPerSource = s.integer("per_address", 0, 1, 1<<20)
-	g.Rate = s.number("rate", 0, 0.001, 1e6)
-	g.Burst = s.integer("burst", max(int(math.Ceil(g.Rate)), 1), 1, 1<<20)
+func (p *parser) sourceLimits(s *block, group *admission.Group) {
+	group.MaxPerSource = s.integer("per_address", 0, 1, 1<<20)
+	group.Rate = s.number("rate", 0, 0.001, 1e6)
+	group.Burst = s.integer("burst", max(int(math.Ceil(group.Rate)), 1), 1, 1<<20)
 	if s.has("burst") && !s.has("rate") {
 		s.report(s.rangeOf("burst"), "Without a meaning", "\"burst\" goes with \"rate\" alone.")
 	}
--- a/internal/gateway/conf/clusters.go
+++ b/internal/gateway/conf/clusters.go
@@ -106,25 +106,25 @@
 func (p *parser) dnsSource(b *hcl.Block, s *block, zones []string) *cluster.DNS {
 	e := p.decodeBlock("dns of "+s.name, b.DefRange, b.Body, []string{"name", "type", "port", "zone", "server"}, nil)
 	e.require("name")
-	d := &cluster.DNS{
+	source := &cluster.DNS{
 		Name:   e.text("name", ""),
 		SRV:    e.oneOf("type", "A", "A", "SRV") == "SRV",
 		Port:   uint16(e.integer("port", 0, 1, math.MaxUint16)),
 		Zone:   p.zone(e, zones),
 		Server: e.text("server", ""),
 	}
-	if d.SRV == e.has("port") {
+	if source.SRV == e.has("port") {
 		e.report(e.rangeOf("port"), "Port", "Type \"A\" needs a \"port\"; \"SRV\" brings its own.")
 	}
 	if !e.has("server") {
 		var err error
-		if d.Server, err = cluster.SystemServer(); err != nil {
+		if source.Server, err = cluster.SystemServer(); err != nil {
 			e.report(e.at, "No name server", "No \"server\" is told, and the system has none: %s.", err)
 		}
-	} else if _, port, err := net.SplitHostPort(d.Server); err != nil || port == "" {
-		e.report(e.rangeOf("server"), "Not an address", "%q is no address and port.", d.Server)
+	} else if _, port, err := net.SplitHostPort(source.Server); err != nil || port == "" {
+		e.report(e.rangeOf("server"), "Not an address", "%q is no address and port.", source.Server)
 	}
-	return d
+	return source
 }
 
 func (p *parser) registrySource(b *hcl.Block, s *block) *cluster.Registry {
--- a/internal/gateway/conf/controlplane.go
+++ b/internal/gateway/conf/controlplane.go
@@ -24,20 +24,20 @@
 	s := p.decodeBlock("control_plane", b.DefRange, b.Body, []string{"name", "listen", "plain", "certificate", "key", "authority", "state", "pace", "subscribers", "settle"},
 		map[string]int{"peer": 1})
 	s.require("name", "listen", "state")
-	o := &api.Options{Name: s.text("name", ""), Listen: s.text("listen", ""), Insecure: s.boolean("plain"),
+	options := &api.Options{Name: s.text("name", ""), Listen: s.text("listen", ""), Insecure: s.boolean("plain"),
 		TLS:            certs.Files{Certificate: p.path(s, "certificate"), Key: p.path(s, "key"), Authority: p.path(s, "authority")},
 		StateFile:      p.path(s, "state"),
 		BytesPerSecond: s.size("pace", api.DefaultBytesPerSecond, 64<<10, 10<<30),
 		MaxSubscribers: s.integer("subscribers", api.DefaultSubscribers, 1, 100_000),
 		InitialSync:    s.duration("settle", api.DefaultInitialSync, time.Millisecond, time.Hour)}
-	if s.isValid("name") && !isUsableName(o.Name) {
+	if s.isValid("name") && !isUsableName(options.Name) {
 		s.report(s.rangeOf("name"), "Unusable name", "The name of a control machine has 1 to 100 letters, digits, dots, dashes and underscores.")
 	}
-	if _, err := netip.ParseAddrPort(o.Listen); s.isValid("listen") && err != nil {
-		s.report(s.rangeOf("listen"), "Not an address", "%q is no IP address and port, such as \"10.0.0.5:18000\".", o.Listen)
+	if _, err := netip.ParseAddrPort(options.Listen); s.isValid("listen") && err != nil {
+		s.report(s.rangeOf("listen"), "Not an address", "%q is no IP address and port, such as \"10.0.0.5:18000\".", options.Listen)
 	}
 	switch {
-	case o.Insecure:
+	case options.Insecure:
 		for _, name := range []string{"certificate", "key", "authority"} {
 			if s.has(name) {
 				s.report(s.rangeOf(name), "Without a meaning", "%q goes without \"plain\" alone.", name)
@@ -52,18 +52,18 @@
 		case !ok:
 		case plane.File != "":
 			p.report(inner.DefRange, "Not a control machine", "Peer %q is a file; it needs an \"address\".", plane.Name)
-		case plane.Name == o.Name:
+		case plane.Name == options.Name:
 			p.report(inner.LabelRanges[0], "Its own peer", "%q is this control machine.", plane.Name)
-		case slices.ContainsFunc(o.Peers, func(peer api.Peer) bool { return peer.Name == plane.Name }):
+		case slices.ContainsFunc(options.Peers, func(peer api.Peer) bool { return peer.Name == plane.Name }):
 			p.report(inner.LabelRanges[0], "Named twice", "A peer named %q is there already.", plane.Name)
 		default:
-			o.Peers = append(o.Peers, api.Peer{Name: plane.Name, Plane: plane})
+			options.Peers = append(options.Peers, api.Peer{Name: plane.Name, Plane: plane})
 		}
 	}
-	if n := len(o.Peers); n > maxPeers {
+	if n := len(options.Peers); n > maxPeers {
 		s.report(s.at, "Out of range", "There are %d peers; %d are the most.", n, maxPeers)
 	}
-	return o
+	return options
 }
 
 // isUsableName reports whether the name of a control-plane server is valid: it becomes a part of version strings.
--- a/internal/gateway/conf/fleet.go
+++ b/internal/gateway/conf/fleet.go
@@ -34,7 +34,7 @@
 	s := p.decodeBlock("fleet "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"name", "listen", "advertise", "seeds", "keyring", "voters",
 		"members", "new", "views", "versions", "taking"}, nil)
 	s.require("name", "listen", "keyring")
-	o := &fleet.Options{
+	options := &fleet.Options{
 		FleetName:      b.Labels[0],
 		Name:           s.text("name", ""),
 		Listen:         s.text("listen", ""),
@@ -46,7 +46,7 @@
 		Versions:       s.boolean("versions"),
 		RolloutTimeout: s.duration("taking", 10*time.Second, time.Second, time.Hour),
 	}
-	if o.Versions && !o.Views {
+	if options.Versions && !options.Views {
 		s.report(s.rangeOf("versions"), "Views needed", "\"versions\" goes with \"views = true\" alone: who is in has to be agreed on.")
 	}
 	for _, name := range []string{"listen", "advertise"} {
@@ -54,16 +54,16 @@
 			s.report(s.rangeOf(name), "Not an address", "%q is no IP address and port, such as \"10.0.0.5:7946\".", s.text(name, ""))
 		}
 	}
-	o.Seeds = p.seeds(s)
-	o.Voters = p.voters(s)
-	setKeyTimes(o, f.Classes)
+	options.Seeds = p.seeds(s)
+	options.Voters = p.voters(s)
+	setKeyTimes(options, f.Classes)
 	if s.has("keyring") {
 		var err error
-		if o.Keyring, err = readKeyring(p.path(s, "keyring")); err != nil {
+		if options.Keyring, err = readKeyring(p.path(s, "keyring")); err != nil {
 			s.report(s.rangeOf("keyring"), "Unusable keyring", "%s.", err)
 		}
 	}
-	return o
+	return options
 }
 
 func (p *parser) seeds(s *block) (seeds []string) {
@@ -90,13 +90,13 @@
 }
 
 // setKeyTimes sets the maximum deadline of requests with idempotency keys, and the retention of their keys.
-func setKeyTimes(o *fleet.Options, classes []Class) {
-	o.MaxDeadline = time.Second
-	o.KeyRetention = time.Second
+func setKeyTimes(options *fleet.Options, classes []Class) {
+	options.MaxDeadline = time.Second
+	options.KeyRetention = time.Second
 	for _, c := range classes {
 		if c.Effect == lbpolicy.KeyedIdempotent {
-			o.MaxDeadline = max(o.MaxDeadline, c.Deadline)
-			o.KeyRetention = max(o.KeyRetention, 2*c.Deadline+c.Window+c.Retention)
+			options.MaxDeadline = max(options.MaxDeadline, c.Deadline)
+			options.KeyRetention = max(options.KeyRetention, 2*c.Deadline+c.Window+c.Retention)
 		}
 	}
 }
--- a/internal/gateway/conf/link.go
+++ b/internal/gateway/conf/link.go
@@ -30,7 +30,7 @@
 	s := p.decodeBlock("link "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"listen", "certificate", "key", "authority", "plain", "heartbeat",
 		"silence", "calls", "connections"}, map[string]int{"peer": 1})
 	s.require("listen")
-	o := &peering.Options{
+	options := &peering.Options{
 		Site:              b.Labels[0],
 		Listen:            s.text("listen", "127.0.0.1:0"),
 		MaxInFlight:       s.integer("calls", 1024, 1, 1<<16),
@@ -38,39 +38,39 @@
 		HeartbeatInterval: s.duration("heartbeat", 100*time.Millisecond, 10*time.Millisecond, time.Minute),
 		HeartbeatTimeout:  s.duration("silence", 300*time.Millisecond, 20*time.Millisecond, time.Minute),
 	}
-	p.checkSiteName(o.Site, b.LabelRanges[0])
-	p.linkIdentity(s, o)
+	p.checkSiteName(options.Site, b.LabelRanges[0])
+	p.linkIdentity(s, options)
 	for _, inner := range s.blocks {
 		peer := p.peer(inner)
-		if peer.Name == o.Site || slices.ContainsFunc(o.Peers, func(o peering.Peer) bool { return o.Name == peer.Name }) {
+		if peer.Name == options.Site || slices.ContainsFunc(options.Peers, func(other peering.Peer) bool { return other.Name == peer.Name }) {
 			p.report(inner.LabelRanges[0], "Named twice", "%q is this sala, or a peer already.", peer.Name)
 		}
-		o.Peers = append(o.Peers, peer)
+		options.Peers = append(options.Peers, peer)
 	}
-	if len(o.Peers) == 0 {
+	if len(options.Peers) == 0 {
 		s.report(s.at, "No peer", "%s needs a peer block for each other sala.", s.name)
 	}
 	for _, c := range f.Classes {
-		o.PriorityWeights = append(o.PriorityWeights, c.PriorityWeight)
+		options.PriorityWeights = append(options.PriorityWeights, c.PriorityWeight)
 	}
 	p.requireVoters(s, f)
-	return o
+	return options
 }
 
 // linkIdentity checks the listen address and reads the certificate files, which are optional for a link on loopback only.
-func (p *parser) linkIdentity(s *block, o *peering.Options) {
-	listen, err := netip.ParseAddrPort(o.Listen)
+func (p *parser) linkIdentity(s *block, options *peering.Options) {
+	listen, err := netip.ParseAddrPort(options.Listen)
 	if err != nil && s.has("listen") {
-		s.report(s.rangeOf("listen"), "Not an address", "%q is no IP address and port, such as \"10.0.0.5:7950\".", o.Listen)
+		s.report(s.rangeOf("listen"), "Not an address", "%q is no IP address and port, such as \"10.0.0.5:7950\".", options.Listen)
 	}
 	files := []string{"certificate", "key", "authority"}
 	if !s.boolean("plain") {
 		s.require(files...)
-		o.Identity = &peering.Identity{Certificate: p.path(s, "certificate"), Key: p.path(s, "key"), Authority: p.path(s, "authority")}
+		options.Identity = &peering.Identity{Certificate: p.path(s, "certificate"), Key: p.path(s, "key"), Authority: p.path(s, "authority")}
 		return
 	}
 	if err == nil && !listen.Addr().IsLoopback() {
-		s.report(s.rangeOf("plain"), "Not on loopback", "A plain link is for loopback alone; %s is not.", o.Listen)
+		s.report(s.rangeOf("plain"), "Not on loopback", "A plain link is for loopback alone; %s is not.", options.Listen)
 	}
 	for _, name := range files {
 		if s.has(name) {
@@ -81,23 +81,23 @@
 
 // peer reads a peer block: another site with the addresses of its gateways.
 func (p *parser) peer(b *hcl.Block) peering.Peer {
-	n := p.decodeBlock("peer "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "addresses"}, nil)
+	s := p.decodeBlock("peer "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"address", "addresses"}, nil)
 	peer := peering.Peer{Name: b.Labels[0]}
 	p.checkSiteName(peer.Name, b.LabelRanges[0])
-	addresses := n.list("addresses")
+	addresses := s.list("addresses")
 	switch {
-	case n.has("address") && n.has("addresses"):
-		n.report(n.rangeOf("address"), "Told twice", "\"addresses\" goes without \"address\".")
-	case n.has("addresses") && len(addresses) == 0 && n.isValid("addresses"):
-		n.report(n.rangeOf("addresses"), "No address", "%s needs one address at least.", n.name)
-	case !n.has("addresses"):
-		n.require("address")
-		addresses = []locatedText{{n.text("address", ""), n.rangeOf("address")}}
+	case s.has("address") && s.has("addresses"):
+		s.report(s.rangeOf("address"), "Told twice", "\"addresses\" goes without \"address\".")
+	case s.has("addresses") && len(addresses) == 0 && s.isValid("addresses"):
+		s.report(s.rangeOf("addresses"), "No address", "%s needs one address at least.", s.name)
+	case !s.has("addresses"):
+		s.require("address")
+		addresses = []locatedText{{s.text("address", ""), s.rangeOf("address")}}
 	}
 	if len(addresses) > maxGatewaysPerSite {
-		n.report(n.rangeOf("addresses"), "Out of range", "%s has %d gateways; %d are the most.", n.name, len(addresses), maxGatewaysPerSite)
+		s.report(s.rangeOf("addresses"), "Out of range", "%s has %d gateways; %d are the most.", s.name, len(addresses), maxGatewaysPerSite)
 	}
-	isGiven := n.has("address") || n.has("addresses")
+	isGiven := s.has("address") || s.has("addresses")
 	for _, a := range addresses {
 		if host, port, err := net.SplitHostPort(a.text); isGiven && (err != nil || host == "" || port == "") {
 			p.report(a.at, "Not an address", "%q is no address and port.", a.text)
@@ -148,10 +148,10 @@
 		switch {
 		case f.Link == nil:
 			p.report(l.at, "No link", "%s crosses to %q, but there is no link block.", s.name, l.text)
-		case !slices.ContainsFunc(f.Link.Peers, func(o peering.Peer) bool { return o.Name == l.text }):
+		case !slices.ContainsFunc(f.Link.Peers, func(peer peering.Peer) bool { return peer.Name == l.text }):
 			var names []string
-			for _, o := range f.Link.Peers {
-				names = append(names, o.Name)
+			for _, peer := range f.Link.Peers {
+				names = append(names, peer.Name)
 			}
 			p.report(l.at, "Unknown sala", "The link has no peer named %q.%s", l.text, suggestion(l.text, names))
 		case slices.Contains(out, l.text):
--- a/internal/gateway/conf/xds.go
+++ b/internal/gateway/conf/xds.go
@@ -33,7 +33,7 @@
 	b := blocks[0]
 	s := p.decodeBlock("xds", b.DefRange, b.Body, []string{"node", "node_cluster", "region", "zone", "sub_zone", "variant", "all", "hold", "missing", "patience",
 		"trial", "backoff", "backoff_most", "quiet", "max_message", "state", "bootstrap"}, map[string]int{"plane": 1})
-	o := &bootstrap.Options{Wildcard: s.boolean("all"),
+	options := &bootstrap.Options{Wildcard: s.boolean("all"),
 		DeferTime:       s.duration("hold", 30*time.Second, 0, time.Hour),
 		ResourceTimeout: s.duration("missing", 15*time.Second, 100*time.Millisecond, time.Hour),
 		KeepaliveTime:   s.duration("quiet", 5*time.Minute, 10*time.Second, time.Hour),
@@ -41,37 +41,37 @@
 			Probation:  s.duration("trial", 10*time.Second, 0, time.Hour),
 			MinBackoff: s.duration("backoff", 500*time.Millisecond, time.Millisecond, time.Minute)},
 		MaxMessageBytes: int(s.size("max_message", 16<<20, 64<<10, 1<<30)), StateFile: p.path(s, "state")}
-	o.Selection.MaxBackoff = s.duration("backoff_most", max(30*time.Second, o.Selection.MinBackoff), o.Selection.MinBackoff, time.Hour)
-	o.Variant = map[string]ads.Variant{"delta": ads.Delta, "whole": ads.StateOfTheWorld}[s.oneOf("variant", "delta", "delta", "whole")]
+	options.Selection.MaxBackoff = s.duration("backoff_most", max(30*time.Second, options.Selection.MinBackoff), options.Selection.MinBackoff, time.Hour)
+	options.Variant = map[string]ads.Variant{"delta": ads.Delta, "whole": ads.StateOfTheWorld}[s.oneOf("variant", "delta", "delta", "whole")]
 	if s.has("bootstrap") {
-		p.bootstrap(s, o)
+		p.bootstrap(s, options)
 	}
 	hostname, _ := os.Hostname()
-	if o.Node.ID == "" {
-		o.Node.ID = hostname
+	if options.Node.ID == "" {
+		options.Node.ID = hostname
 	}
-	for name, field := range map[string]*string{"node": &o.Node.ID, "node_cluster": &o.Node.Cluster, "region": &o.Node.Region, "zone": &o.Node.Zone, "sub_zone": &o.Node.SubZone} {
+	for name, field := range map[string]*string{"node": &options.Node.ID, "node_cluster": &options.Node.Cluster, "region": &options.Node.Region, "zone": &options.Node.Zone, "sub_zone": &options.Node.SubZone} {
 		*field = s.text(name, *field)
 	}
 	for _, inner := range s.blocks {
 		if plane, ok := p.controlPlane(inner); ok {
-			if slices.ContainsFunc(o.ControlPlanes, func(other bootstrap.ControlPlane) bool { return other.Name == plane.Name }) {
+			if slices.ContainsFunc(options.ControlPlanes, func(other bootstrap.ControlPlane) bool { return other.Name == plane.Name }) {
 				p.report(inner.LabelRanges[0], "Named twice", "A plane named %q is there already.", plane.Name)
 			}
-			o.ControlPlanes = append(o.ControlPlanes, plane)
+			options.ControlPlanes = append(options.ControlPlanes, plane)
 		}
 	}
 	switch {
 	case len(s.blocks) == 0 && !s.has("bootstrap"):
 		s.report(s.at, "No control plane", "xds needs a plane block for each control plane, the first one first, or a bootstrap file.")
-	case len(o.ControlPlanes) > maxControlPlanes:
-		s.report(s.at, "Out of range", "There are %d control planes; %d are the most.", len(o.ControlPlanes), maxControlPlanes)
+	case len(options.ControlPlanes) > maxControlPlanes:
+		s.report(s.at, "Out of range", "There are %d control planes; %d are the most.", len(options.ControlPlanes), maxControlPlanes)
 	}
-	return o
+	return options
 }
 
 // bootstrap reads the control planes and the node of a bootstrap file. The control planes of the xds block are appended to them later.
-func (p *parser) bootstrap(s *block, o *bootstrap.Options) {
+func (p *parser) bootstrap(s *block, options *bootstrap.Options) {
 	path := p.path(s, "bootstrap")
 	info, err := os.Stat(path)
 	var text []byte
@@ -87,7 +87,7 @@
 		s.report(s.rangeOf("bootstrap"), "Unusable bootstrap file", "%s: %s.", path, err)
 		return
 	}
-	o.ControlPlanes, o.Node = b.ControlPlanes, b.Node
+	options.ControlPlanes, options.Node = b.ControlPlanes, b.Node
 }
 
 // controlPlane reads the block of a control plane, which has an address or a file. It returns false if neither is usable.
