--- a/internal/gateway/conf/file.go
+++ b/internal/gateway/conf/file.go
@@ -28,7 +28,7 @@
 	var process *block
 	f.Process, process = p.process(blocks["process"])
 	f.ControlPlane = p.controlPlaneBlock(blocks["control_plane"])
-	// A control-plane server needs no listeners, routes, clusters or classes: it may run without serving clients.
+	// A control-plane server may run without serving clients: then the file has no listeners, routes, clusters or classes.
 	serves := f.ControlPlane == nil || len(blocks["listener"])+len(blocks["route"])+len(blocks["cluster"])+len(blocks["class"]) > 0
 	if len(f.Classes) == 0 && serves {
 		p.report(body.MissingItemRange(), "No class", "At least one class is needed: what requests are worth and how long they may take.")
--- a/internal/gateway/conf/reader.go
+++ b/internal/gateway/conf/reader.go
@@ -64,7 +64,7 @@
 	return s
 }
 
-// keys returns an iterator over the keys of a map, in random order.
+// keys returns an iterator over the keys of a map, in unspecified order.
 func keys(m map[string]int) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
