--- a/internal/gateway/conf/fleet.go
+++ b/internal/gateway/conf/fleet.go
@@ -21,7 +21,7 @@
 // keyBytes is the length of a fleet's keys (AES-256).
 const keyBytes = 32
 
-// maxVoters bounds the voters, each of which is asked for each request with an idempotency key.
+// maxVoters is the maximum number of voters. Every voter is asked about each request with an idempotency key.
 const maxVoters = 9
 
 // fleetBlock reads the fleet block, or returns nil where there is none.
@@ -31,10 +31,10 @@
 	}
 	p.atMostOne(blocks)
 	b := blocks[0]
-	s := p.open("fleet "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"name", "listen", "advertise", "seeds", "keyring", "voters",
+	s := p.decodeBlock("fleet "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"name", "listen", "advertise", "seeds", "keyring", "voters",
 		"members", "new", "views", "versions", "taking"}, nil)
 	s.require("name", "listen", "keyring")
-	o := &fleet.Options{
+	options := &fleet.Options{
 		FleetName:      b.Labels[0],
 		Name:           s.text("name", ""),
 		Listen:         s.text("listen", ""),
@@ -46,7 +46,7 @@
 		Versions:       s.boolean("versions"),
 		RolloutTimeout: s.duration("taking", 10*time.Second, time.Second, time.Hour),
 	}
-	if o.Versions && !o.Views {
+	if options.Versions && !options.Views {
 		s.report(s.rangeOf("versions"), "Views needed", "\"versions\" goes with \"views = true\" alone: who is in has to be agreed on.")
 	}
 	for _, name := range []string{"listen", "advertise"} {
@@ -54,16 +54,16 @@
 			s.report(s.rangeOf(name), "Not an address", "%q is no IP address and port, such as \"10.0.0.5:7946\".", s.text(name, ""))
 		}
 	}
-	o.Seeds = p.seeds(s)
-	o.Voters = p.voters(s)
-	setKeyTimes(o, f.Classes)
+	options.Seeds = p.seeds(s)
+	options.Voters = p.voters(s)
+	setKeyTimes(options, f.Classes)
 	if s.has("keyring") {
 		var err error
-		if o.Keyring, err = readKeyring(p.path(s, "keyring")); err != nil {
+		if options.Keyring, err = readKeyring(p.path(s, "keyring")); err != nil {
 			s.report(s.rangeOf("keyring"), "Unusable keyring", "%s.", err)
 		}
 	}
-	return o
+	return options
 }
 
 func (p *parser) seeds(s *block) (seeds []string) {
@@ -89,19 +89,19 @@
 	return voters
 }
 
-// setKeyTimes sets how long requests with idempotency keys may take, and how long their keys are remembered.
-func setKeyTimes(o *fleet.Options, classes []Class) {
-	o.MaxDeadline = time.Second
-	o.KeyRetention = time.Second
+// setKeyTimes sets the maximum deadline of requests with idempotency keys, and the retention of their keys.
+func setKeyTimes(options *fleet.Options, classes []Class) {
+	options.MaxDeadline = time.Second
+	options.KeyRetention = time.Second
 	for _, c := range classes {
 		if c.Effect == lbpolicy.KeyedIdempotent {
-			o.MaxDeadline = max(o.MaxDeadline, c.Deadline)
-			o.KeyRetention = max(o.KeyRetention, 2*c.Deadline+c.Window+c.Retention)
+			options.MaxDeadline = max(options.MaxDeadline, c.Deadline)
+			options.KeyRetention = max(options.KeyRetention, 2*c.Deadline+c.Window+c.Retention)
 		}
 	}
 }
 
-// NewKey returns a new key as a keyring holds it.
+// NewKey returns a new random key in the base64 form of keyring files.
 func NewKey() (string, error) {
 	key := make([]byte, keyBytes)
 	if _, err := rand.Read(key); err != nil {
@@ -110,7 +110,7 @@
 	return base64.StdEncoding.EncodeToString(key), nil
 }
 
-// readKeyring reads a file of keys, one on each line in base64, the one that encrypts first.
+// readKeyring reads a file of keys in base64, one per line. The first key encrypts; the others only decrypt.
 func readKeyring(path string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
