--- a/internal/base/chunked/chunked.go
+++ b/internal/base/chunked/chunked.go
@@ -1,7 +1,8 @@
 // Package chunked decodes the chunked transfer coding (RFC 9112, section 7.1) strictly and incrementally. It does no I/O.
 //
-// Whatever two parsers could read differently is an error: a size that is no plain hexadecimal number, a line that ends in
-// a bare line feed, bytes between a chunk and its line end. Extensions and trailers are checked for their form and ignored.
+// Input that two parsers could read differently is an error: a chunk size that is not a plain hexadecimal number, a line that
+// ends in a bare line feed, or bytes between the data of a chunk and its line end. The syntax of extensions and trailers is
+// checked, and their content is ignored.
 package chunked
 
 import (
@@ -13,43 +14,44 @@
 )
 
 const (
-	maxLineBytes    = 1 << 10 // a chunk size with its extensions
-	maxTrailerBytes = 4 << 10 // all trailers
-	maxSizeDigits   = 15      // of a size: what fits in an int64
-	maxFramingBytes = 1 << 16 // bytes of sizes and extensions, beyond maxFramingPerByte for each byte of data
+	maxLineBytes    = 1 << 10 // of a line: a chunk size with its extensions
+	maxTrailerBytes = 4 << 10 // of all trailers together
+	maxSizeDigits   = 15      // hexadecimal digits of a chunk size: the most that always fit in an int64
+	maxFramingBytes = 1 << 16 // bytes of chunk sizes and extensions allowed in addition to maxFramingPerByte
 
-	// maxFramingPerByte bounds endless extensions on chunks of one byte.
+	// maxFramingPerByte is the number of framing bytes allowed for each byte of data. It stops a peer that sends long extensions
+	// on chunks of one byte without end.
 	maxFramingPerByte = 16
 )
 
-// ErrMalformed says that the input is not in the chunked coding.
-var ErrMalformed = errors.New("chunked: not in the form of RFC 9112")
+// ErrMalformed reports input that does not conform to the chunked coding.
+var ErrMalformed = errors.New("chunked: malformed input (RFC 9112, section 7.1)")
 
 type state uint8
 
 const (
-	stateSize    state = iota // in the line with a chunk's size
-	stateData                 // in a chunk's data
-	stateDataEnd              // in the line end after the data
-	stateTrailer              // after the last chunk
+	stateSize    state = iota // reading the line with a chunk's size
+	stateData                 // reading a chunk's data
+	stateDataEnd              // reading the line end after the data
+	stateTrailer              // reading the trailers after the last chunk
 	stateComplete
 )
 
-// Decoder decodes one body. The zero Decoder is at its beginning. It is not safe for concurrent use.
+// Decoder decodes one body. The zero Decoder is ready to decode. A Decoder is not safe for concurrent use.
 type Decoder struct {
 	state        state
-	remaining    int64  // of the current chunk
-	line         []byte // the incomplete line
+	remaining    int64  // bytes of the current chunk not decoded yet
+	line         []byte // the part of the current line received so far
 	trailerBytes int
-	framingBytes int64 // sizes and line ends
+	framingBytes int64 // bytes of chunk sizes, extensions, trailers and line ends
 	dataBytes    int64
 }
 
 // IsComplete reports whether the body has ended, including its trailers.
 func (d *Decoder) IsComplete() bool { return d.state == stateComplete }
 
-// Feed decodes the next bytes of the input. It returns the number of bytes used, and which of them are data. If it uses none,
-// the body is complete or the input is empty.
+// Feed decodes the next bytes of the input. It returns the number of bytes consumed and the part of them that is data of the
+// body. If it consumes none, the body is complete or the input is empty.
 func (d *Decoder) Feed(in []byte) (body []byte, used int, err error) {
 	for used < len(in) && d.state != stateComplete {
 		if d.state == stateData {
@@ -87,8 +89,8 @@
 	return in[:n]
 }
 
-// takeLine appends the input to the current line, up to a line feed. It returns the number of bytes used, and whether the
-// line is complete.
+// takeLine appends the input to the current line, up to a line feed. It returns the number of bytes consumed and
+// whether the line is complete.
 func (d *Decoder) takeLine(in []byte) (used int, isComplete bool) {
 	i := bytes.IndexByte(in, '\n')
 	if i < 0 {
@@ -100,7 +102,7 @@
 	return i + 1, true
 }
 
-// handleLine handles a complete line.
+// handleLine interprets a complete line, without its line end, according to the state.
 func (d *Decoder) handleLine(line []byte) error {
 	switch d.state {
 	case stateSize:
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// parseSize parses a chunk's size, which extensions may follow.
+// parseSize parses the line with a chunk's size. Extensions may follow the size.
 func parseSize(line []byte) (n int64, ok bool) {
 	digits := 0
 	for _, c := range line {
--- a/internal/base/endpointlist/endpointlist.go
+++ b/internal/base/endpointlist/endpointlist.go
@@ -14,20 +14,20 @@
 	Zone    string `json:"zone"`
 	Group   int    `json:"group"`
 	Status  string `json:"status"`
-	SinceMS int64  `json:"since_ms"` // start of its process, in Unix milliseconds; 0: long ago
-	// Weight is its part of the traffic compared with endpoints of the same speed, the largest being 1. Zero is 1. The discovery
-	// service sends none.
+	SinceMS int64  `json:"since_ms"` // start of the endpoint's process, in Unix milliseconds; 0: long ago
+	// Weight is the endpoint's share of the traffic relative to endpoints of the same speed. The largest weight is 1, and zero
+	// means 1. The discovery service sends no weights.
 	Weight float64 `json:"-"`
 }
 
 // List is a response of the discovery service.
 type List struct {
 	Index    int64
-	Snapshot bool // whether Entries is the whole list, or changed entries
+	Snapshot bool // true: Entries is the complete list; false: only the changed entries
 	Entries  []Endpoint
 }
 
-// Parse parses a list. An entry that is malformed becomes a zero Endpoint, which its consumer rejects for want of a name.
+// Parse parses a list. A malformed entry becomes a zero Endpoint, which the consumer of the list rejects because it has no name.
 func Parse(text []byte) (List, error) {
 	var raw struct {
 		Index     *int64            `json:"index"`
@@ -35,10 +35,10 @@
 		Endpoints []json.RawMessage `json:"endpoints"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return List{}, fmt.Errorf("list: %w", err)
+		return List{}, fmt.Errorf("endpoint list: %w", err)
 	}
 	if raw.Index == nil {
-		return List{}, errors.New("list: no index")
+		return List{}, errors.New("endpoint list: field index is missing")
 	}
 	l := List{Index: *raw.Index, Snapshot: raw.Snapshot}
 	for _, entry := range raw.Endpoints {
--- a/internal/base/exhaustion/exhaustion.go
+++ b/internal/base/exhaustion/exhaustion.go
@@ -1,4 +1,4 @@
-// Package exhaustion tells errors of the local host's exhausted resources from those of peers.
+// Package exhaustion distinguishes errors caused by exhausted resources of the local host from errors caused by peers.
 package exhaustion
 
 import (
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// Is reports whether an error says that this process or host has no file descriptor, socket buffer or memory left.
+// Is reports whether err means that this process or host has run out of file descriptors, socket buffers or memory.
 func Is(err error) bool {
 	return errors.Is(err, syscall.EMFILE) ||
 		errors.Is(err, syscall.ENFILE) ||
--- a/internal/base/httphead/httphead.go
+++ b/internal/base/httphead/httphead.go
@@ -1,7 +1,7 @@
-// Package httphead parses the head of an HTTP/1.1 message (RFC 9112) strictly. Whatever two parsers could read differently is
-// an error: a repeated Content-Length or one beside a Transfer-Encoding (request smuggling), folded lines, bare line feeds,
-// names with spaces, control characters. net/http repairs some of that before a handler sees it. Old peers that end lines
-// with a bare line feed, or repeat the same length, are rejected too.
+// Package httphead parses the head of an HTTP/1.1 message (RFC 9112) strictly. Input that two parsers could read differently is
+// an error: a repeated Content-Length, a Content-Length next to a Transfer-Encoding (request smuggling), folded lines, bare
+// line feeds, names with spaces, or control characters. net/http silently repairs some of these faults before a handler sees
+// them. Old peers that end lines with a bare line feed, or repeat the same length, are rejected too.
 package httphead
 
 import (
@@ -18,7 +18,7 @@
 type Head struct {
 	StartLine     string // request line or status line
 	Header        http.Header
-	ContentLength int64 // -1: none
+	ContentLength int64 // -1: the head has none
 	Chunked       bool
 }
 
@@ -41,21 +41,21 @@
 func Parse(text []byte) (Head, error) {
 	body, ok := strings.CutSuffix(string(text), "\r\n\r\n")
 	if !ok {
-		return Head{}, errors.New("head: no empty line at its end")
+		return Head{}, errors.New("message head: no empty line at its end")
 	}
 	start, fields, more := strings.Cut(body, "\r\n")
 	lines := strings.Count(fields, "\r\n") + 1
 	h := Head{StartLine: start, Header: make(http.Header, lines), ContentLength: -1}
-	values := make([]string, 0, lines) // most names have one: they share an array
+	values := make([]string, 0, lines) // most names have a single value: these values share one array
 	if !IsPrintable(start) {
-		return h, errors.New("head: the first line cannot be read")
+		return h, errors.New("message head: control character in the start line")
 	}
 	for more {
 		var line string
 		line, fields, more = strings.Cut(fields, "\r\n")
 		name, value, colon := strings.Cut(line, ":")
 		if !colon || !IsToken(name) || !IsPrintable(value) {
-			return h, fmt.Errorf("head: line %.40q", line)
+			return h, fmt.Errorf("message head: malformed field line %.40q", line)
 		}
 		name, value = textproto.CanonicalMIMEHeaderKey(name), strings.Trim(value, " \t")
 		if before, twice := h.Header[name]; twice {
@@ -73,18 +73,18 @@
 	lengths, codings := h.Header["Content-Length"], h.Header["Transfer-Encoding"]
 	switch {
 	case len(lengths)+len(codings) > 1:
-		return errors.New("head: several lengths, or a length and a transfer coding")
+		return errors.New("message head: more than one Content-Length or Transfer-Encoding field")
 	case len(codings) == 1 && (strings.HasSuffix(h.StartLine, " HTTP/1.0") || strings.HasPrefix(h.StartLine, "HTTP/1.0 ")):
-		return errors.New("head: a transfer coding in HTTP/1.0") // faulty framing: RFC 9112, 6.1
+		return errors.New("message head: Transfer-Encoding in an HTTP/1.0 message") // faulty framing (RFC 9112, section 6.1)
 	case len(codings) == 1:
 		h.Chunked = strings.EqualFold(codings[0], "chunked")
 		if !h.Chunked {
-			return fmt.Errorf("head: transfer coding %.40q", codings[0])
+			return fmt.Errorf("message head: unsupported transfer coding %.40q", codings[0])
 		}
 	case len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 63) // digits only
 		if err != nil {
-			return fmt.Errorf("head: length %.40q", lengths[0])
+			return fmt.Errorf("message head: malformed Content-Length %.40q", lengths[0])
 		}
 		h.ContentLength = int64(n)
 	}
@@ -103,7 +103,7 @@
 	return false
 }
 
-// IsPrintable reports whether a text has no control characters but tabs.
+// IsPrintable reports whether s has no control characters other than tabs.
 func IsPrintable(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -113,7 +113,7 @@
 	return true
 }
 
-// IsToken reports whether s is a token (RFC 9110, section 5.6.2), as names and methods are.
+// IsToken reports whether s is a token (RFC 9110, section 5.6.2). Field names and methods are tokens.
 func IsToken(s string) bool {
 	for i := range len(s) {
 		if !tokenBytes[s[i]] {
@@ -123,6 +123,7 @@
 	return s != ""
 }
 
+// tokenBytes holds true for each byte that may be part of a token.
 var tokenBytes = func() (t [256]bool) {
 	for c := range t {
 		t[c] = c > ' ' && c < 0x7f && !strings.ContainsRune(`"(),/:;<=>?@[\]{}`, rune(c))
--- a/internal/base/httphead/httphead_test.go
+++ b/internal/base/httphead/httphead_test.go
@@ -19,10 +19,10 @@
 	for text, length := range good {
 		h, err := Parse([]byte(text))
 		if err != nil || h.ContentLength != length {
-			t.Errorf("%q: length %d, %v", text, h.ContentLength, err)
+			t.Errorf("Parse(%q): ContentLength %d, error %v", text, h.ContentLength, err)
 		}
 		if End([]byte(text+"more")) != len(text) || End([]byte(text[:len(text)-1])) >= 0 {
-			t.Errorf("%q: its end is not found", text)
+			t.Errorf("End(%q): the end of the head was not found, or was found in an incomplete head", text)
 		}
 	}
 	for _, text := range []string{
@@ -44,12 +44,12 @@
 		"noise\x00\r\n\r\n",
 	} {
 		if h, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%q: read as %+v", text, h)
+			t.Errorf("Parse(%q) = %+v, want an error", text, h)
 		}
 	}
 }
 
-// FuzzParse checks that net/http parses whatever is accepted in the same way: no other parser may see another request.
+// FuzzParse checks that net/http parses an accepted head in the same way, so that no other parser sees a different request.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n",
 		"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", "GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", "GET / HTTP/1.1\r\nA : b\r\n\r\n",
@@ -67,18 +67,18 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text[:end])))
 		if err != nil {
-			return // stricter in what concerns the first line, which is not looked at here
+			return // net/http also checks the request line, which Parse does not
 		}
 		length := h.ContentLength
 		if h.Chunked || length < 0 && r.ContentLength == 0 {
 			length = r.ContentLength
 		}
 		if r.ContentLength != length || h.Chunked != (len(r.TransferEncoding) > 0) {
-			t.Fatalf("%q: length %d, chunked %t; net/http: %d, %v", text, h.ContentLength, h.Chunked, r.ContentLength, r.TransferEncoding)
+			t.Fatalf("Parse(%q): ContentLength %d, chunked %t; net/http: ContentLength %d, transfer codings %v", text, h.ContentLength, h.Chunked, r.ContentLength, r.TransferEncoding)
 		}
 		for name, values := range r.Header {
 			if name != "Host" && name != "Transfer-Encoding" && name != "Content-Length" && !slices.Equal(values, h.Header[name]) {
-				t.Fatalf("%q: %s is %q; net/http: %q", text, name, h.Header[name], values)
+				t.Fatalf("Parse(%q): field %s is %q; net/http: %q", text, name, h.Header[name], values)
 			}
 		}
 	})
--- a/internal/base/socket/socket.go
+++ b/internal/base/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket asks the system for the state of TCP sockets. It tells what a peer has done, whether a goroutine of this process
-// has run meanwhile or not. No call blocks, and each may be made while others use the socket.
+// Package socket queries the kernel for the state of TCP sockets. The result shows what a peer has done even if no goroutine of
+// this process has run in the meantime. No call blocks, and all calls may be made while others use the socket.
 package socket
 
 import (
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// stateSynSent is the state of a connection whose peer has not responded yet (TCP_SYN_SENT of the kernel).
+// stateSynSent is the kernel's TCP_SYN_SENT: the state of a connection whose peer has not responded yet.
 const stateSynSent = 2
 
-// Unread returns how many bytes have arrived that nobody has read; zero if the socket is closed.
+// Unread returns the number of bytes that have arrived and have not been read. It returns zero if the socket is closed.
 func Unread(raw syscall.RawConn) int {
 	unread := 0
 	err := raw.Control(func(fd uintptr) {
@@ -23,7 +23,7 @@
 	return unread
 }
 
-// IsConnecting reports whether a connection is being opened whose peer has not responded yet.
+// IsConnecting reports whether the connection is being opened and its peer has not responded yet.
 func IsConnecting(raw syscall.RawConn) bool {
 	isConnecting := false
 	err := raw.Control(func(fd uintptr) {
--- a/internal/base/socket/socket_test.go
+++ b/internal/base/socket/socket_test.go
@@ -10,31 +10,31 @@
 
 func TestUnread(t *testing.T) {
 	listener := lbtest.Listen(t)
-	here := lbtest.Dial(t, listener.Addr().String())
-	there, err := listener.Accept()
+	client := lbtest.Dial(t, listener.Addr().String())
+	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
-	raw, err := there.(*net.TCPConn).SyscallConn()
+	defer server.Close()
+	raw, err := server.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := Unread(raw); n != 0 {
-		t.Errorf("%d bytes before any were sent", n)
+		t.Errorf("%d unread bytes before any were sent, want 0", n)
 	}
-	here.Send("four")
-	lbtest.Until(t, "the bytes have arrived", func() bool { return Unread(raw) == 4 })
+	client.Send("four")
+	lbtest.Until(t, "the 4 bytes sent are counted as unread", func() bool { return Unread(raw) == 4 })
 	if IsConnecting(raw) {
-		t.Error("an established connection is being opened")
+		t.Error("IsConnecting = true for an established connection")
 	}
-	there.Close()
+	server.Close()
 	if n := Unread(raw); n != 0 {
-		t.Errorf("%d bytes in a closed socket", n)
+		t.Errorf("%d unread bytes in a closed socket, want 0", n)
 	}
 }
 
-// A listener with a full queue answers no further connection.
+// TestIsConnecting opens more connections than the accept queue of a listener holds. The kernel does not complete the others.
 func TestIsConnecting(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -47,15 +47,15 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	name, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}).String()
-	const dials = 4 // more than the queue takes
+	address := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*syscall.SockaddrInet4).Port}).String()
+	const dials = 4 // more than the accept queue holds
 	sockets := make(chan syscall.RawConn, dials)
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { sockets <- raw; return nil }}
-	var opening []syscall.RawConn
+	var connecting []syscall.RawConn
 	for range dials {
 		go func() {
 			if c, err := dialer.DialContext(t.Context(), "tcp", address); err == nil {
@@ -63,10 +63,10 @@
 				<-t.Context().Done()
 			}
 		}()
-		opening = append(opening, <-sockets)
+		connecting = append(connecting, <-sockets)
 	}
-	lbtest.Until(t, "a connection is being opened", func() bool {
-		for _, raw := range opening {
+	lbtest.Until(t, "IsConnecting reports true for one of the connections", func() bool {
+		for _, raw := range connecting {
 			if IsConnecting(raw) {
 				return true
 			}
--- a/internal/base/statefile/statefile.go
+++ b/internal/base/statefile/statefile.go
@@ -1,5 +1,6 @@
-// Package statefile stores a value in a file across restarts. The file is replaced atomically. Its first line holds the
-// format and the digest of the rest (MessagePack), so that a torn or foreign file is not read as valid.
+// Package statefile stores a value in a file across restarts. The file is replaced atomically. Its first line holds the name of
+// the format and the SHA-256 digest of the rest, which is MessagePack. A truncated, damaged or foreign file is therefore not
+// read as valid.
 package statefile
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// Write replaces the file. It is durable when Write returns nil.
+// Write replaces the file at path. The new content is durable once Write returns nil.
 func Write(path, format string, value any) error {
 	var body bytes.Buffer
 	if err := codec.NewEncoder(&body, &codec.MsgpackHandle{}).Encode(value); err != nil {
@@ -37,7 +38,8 @@
 	return f.CloseAtomicallyReplace()
 }
 
-// Read reads a file of a format into a value. A file of more than maxBytes counts as torn.
+// Read decodes the file at path into value. The file has to be of the given format. A file of more than maxBytes is treated as
+// truncated.
 func Read(path, format string, maxBytes int64, value any) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -47,18 +49,18 @@
 	r := bufio.NewReader(io.LimitReader(f, maxBytes))
 	head, err := r.ReadString('\n')
 	if err != nil {
-		return errors.New("it is cut off")
+		return errors.New("state file: header line is truncated")
 	}
 	var sum string
 	if _, err := fmt.Sscanf(head, format+" %64s\n", &sum); err != nil {
-		return errors.New("it is of another format")
+		return errors.New("state file: header line is malformed or names another format")
 	}
 	body, err := io.ReadAll(r)
 	if err != nil {
 		return err
 	}
 	if actual := sha256.Sum256(body); hex.EncodeToString(actual[:]) != sum {
-		return errors.New("its digest is not that of its content")
+		return errors.New("state file: digest in the header does not match the content")
 	}
 	return codec.NewDecoderBytes(body, &codec.MsgpackHandle{}).Decode(value)
 }
--- a/internal/base/timeout/timeout.go
+++ b/internal/base/timeout/timeout.go
@@ -1,6 +1,7 @@
-// Package timeout has timers for the silence of a peer, which allow for pauses of this process. While a process stands still (a
-// stopped container, a suspended machine, no processor time) its peers go on, and what they have sent waits in its sockets. When it
-// goes on, the timers that were due expire before that is read: a plain timer measures the pause as a silence of the peer.
+// Package timeout provides timers that detect a peer which sends nothing, and that allow for pauses of this process. While a
+// process is paused (a stopped container, a suspended machine, no processor time), its peers keep sending, and their data waits
+// in the sockets of the process. When the process resumes, overdue timers fire before that data is read. A plain timer would
+// therefore mistake the pause of the process for silence of the peer.
 package timeout
 
 import (
@@ -9,17 +10,19 @@
 )
 
 const (
-	// CatchUp is the time in which a process that runs reads what has arrived.
+	// CatchUp is the time within which a running process reads the data that has arrived.
 	CatchUp = 20 * time.Millisecond
-	// maxTimerDelay is how late a timer or a deadline may pass in a process that runs.
+	// maxTimerDelay is the longest delay of a timer or a deadline in a running process.
 	maxTimerDelay = 10 * time.Millisecond
-	// maxLateStages bounds the delay in a process that always lags.
+	// maxLateStages is the number of late stages accepted before the timer fires anyway. It bounds the delay in a process whose
+	// timers are always late.
 	maxLateStages = 3
 )
 
-// AfterFunc calls f in a goroutine of its own after d. The last CatchUp of that time is waited for as a stage of its own: if one
-// of the stages ends late, this process has stood still, and f is called only after another stage. The returned function stops
-// the timer, and reports whether f will not be called.
+// AfterFunc calls f in its own goroutine after d. The last CatchUp of d is a separate stage: after a pause that ends before it,
+// the process has that time to read the data that has arrived. If this stage ends late, the process was paused meanwhile, and
+// another stage of CatchUp follows, until a stage ends in time or more than maxLateStages have ended late. The returned function
+// stops the timer and reports whether it prevented the call of f.
 func AfterFunc(d time.Duration, f func()) (stop func() bool) {
 	t := &timer{f: f}
 	t.mu.Lock()
@@ -32,7 +35,7 @@
 	return t.stop
 }
 
-// IsLate reports whether a time has passed for longer than in a process that runs: it stood still.
+// IsLate reports whether due has passed by more than maxTimerDelay, which means that this process was paused.
 func IsLate(due time.Time) bool { return time.Since(due) > maxTimerDelay }
 
 type timer struct {
@@ -41,24 +44,24 @@
 	mu         sync.Mutex
 	timer      *time.Timer
 	due        time.Time
-	confirming bool // the present stage is the last one, if it ends in time
+	confirming bool // the current stage is the last one unless it ends late
 	lateStages int
 	ended      bool // f was called, or the timer was stopped
 }
 
-// wait starts a stage. The caller holds the lock.
+// wait starts a stage that lasts for d. The caller holds mu.
 func (t *timer) wait(d time.Duration) {
 	t.due = time.Now().Add(d)
-	t.timer = time.AfterFunc(d, t.stageOver)
+	t.timer = time.AfterFunc(d, t.handleStageEnd)
 }
 
-func (t *timer) stageOver() {
+func (t *timer) handleStageEnd() {
 	if t.endStage() {
 		t.f()
 	}
 }
 
-// endStage reports whether the stage was the last one, and starts another one if not.
+// endStage ends the current stage. It reports whether that was the last stage, and starts another stage if it was not.
 func (t *timer) endStage() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/base/timeout/timeout_test.go
+++ b/internal/base/timeout/timeout_test.go
@@ -13,33 +13,34 @@
 			called := make(chan time.Duration, 1)
 			stop := AfterFunc(d, func() { called <- time.Since(started) })
 			if after := <-called; after != d {
-				t.Errorf("called after %v, want %v", after, d)
+				t.Errorf("function called after %v, want %v", after, d)
 			}
 			if stop() {
-				t.Error("stopped after the call")
+				t.Error("stop = true after the function was called, want false")
 			}
 		})
 	}
 }
 
-func TestStop(t *testing.T) {
+func TestStoppedTimerDoesNotFire(t *testing.T) {
 	for _, at := range []time.Duration{0, time.Second - CatchUp/2} {
 		synctest.Test(t, func(t *testing.T) {
-			stop := AfterFunc(time.Second, func() { t.Error("called after the stop") })
+			stop := AfterFunc(time.Second, func() { t.Error("function called after the timer was stopped") })
 			time.Sleep(at)
 			if !stop() || stop() {
-				t.Error("the first stop counts, and no other")
+				t.Error("want true from the first stop and false from the second")
 			}
 			time.Sleep(2 * time.Second)
 		})
 	}
 }
 
-// A stage that ends late shows a pause: the function is called once a stage has ended in time, or after maxLateStages.
-func TestLateStages(t *testing.T) {
+// TestLateStageDelaysTimeout checks that a stage that ends late, which shows a pause of the process, delays the call. The function
+// is called once a stage of CatchUp has ended in time, or after more than maxLateStages late stages.
+func TestLateStageDelaysTimeout(t *testing.T) {
 	for _, c := range []struct {
-		late  []bool // of each stage that ends
-		calls int    // after so many of them
+		late      []bool // whether each stage ends late
+		lastStage int    // number of the stage after which the function is called
 	}{
 		{[]bool{false, false}, 2},
 		{[]bool{true, false}, 2},
@@ -47,18 +48,18 @@
 		{[]bool{true, true, true, true}, 4},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			tm := &timer{timer: time.NewTimer(time.Hour)}
+			stagedTimer := &timer{timer: time.NewTimer(time.Hour)}
 			for i, late := range c.late {
-				tm.due = time.Now()
+				stagedTimer.due = time.Now()
 				if late {
-					tm.due = time.Now().Add(-maxTimerDelay - 1)
+					stagedTimer.due = time.Now().Add(-maxTimerDelay - 1)
 				}
-				if over := tm.endStage(); over != (i+1 == c.calls) {
-					t.Errorf("%v: over after stage %d: %t", c.late, i+1, over)
+				if isLast := stagedTimer.endStage(); isLast != (i+1 == c.lastStage) {
+					t.Errorf("late stages %v: last stage after stage %d: %t, want the opposite", c.late, i+1, isLast)
 				}
-				tm.timer.Stop()
+				stagedTimer.timer.Stop()
 			}
-			tm.stop()
+			stagedTimer.stop()
 		})
 	}
 }
--- a/internal/base/timerqueue/timerqueue.go
+++ b/internal/base/timerqueue/timerqueue.go
@@ -1,4 +1,4 @@
-// Package timerqueue is a queue of values by the time at which they are due. It has no I/O and no clock.
+// Package timerqueue implements a queue of values ordered by the time at which they are due. It does no I/O and reads no clock.
 package timerqueue
 
 import (
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Queue holds values, the earliest first. The zero Queue is empty. It is not safe for concurrent use.
+// Queue holds values, the earliest due time first. The zero Queue is empty. A Queue is not safe for concurrent use.
 type Queue[T any] struct{ entries timerHeap[T] }
 
-// Push adds a value that is due at a time.
+// Push adds a value that is due at the given time.
 func (q *Queue[T]) Push(at time.Time, value T) { heap.Push(&q.entries, entry[T]{at, value}) }
 
-// Pop removes and returns the value that has been due longest; ok is false if none is due.
+// Pop removes and returns the value with the earliest due time. If no value is due by now, ok is false.
 func (q *Queue[T]) Pop(now time.Time) (value T, ok bool) {
 	if len(q.entries) == 0 || now.Before(q.entries[0].at) {
 		return value, false
@@ -20,7 +20,7 @@
 	return heap.Pop(&q.entries).(entry[T]).value, true
 }
 
-// Next returns the earliest time at which a value is due; ok is false if the queue is empty.
+// Next returns the earliest due time in the queue. If the queue is empty, ok is false.
 func (q *Queue[T]) Next() (at time.Time, ok bool) {
 	if len(q.entries) == 0 {
 		return at, false
@@ -28,7 +28,7 @@
 	return q.entries[0].at, true
 }
 
-// Len returns the number of values.
+// Len returns the number of values in the queue, due or not.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
 type entry[T any] struct {
--- a/internal/base/updateorder/updateorder.go
+++ b/internal/base/updateorder/updateorder.go
@@ -1,18 +1,20 @@
 // Package updateorder decides which of several updates of an xDS resource is newer.
 //
-// Versions of xDS resources are opaque, and streams break and come back to other servers, or to the same one with an older
-// state. Within one stream a later update is newer, as the server chose to send it then. Across streams and servers
-// nothing orders two contents, except that a content that was replaced already is most likely outdated if it comes back.
-// Such an update is deferred, and the current content stays in use. It is applied once the server proves that it means it:
+// Versions of xDS resources are opaque. Streams break and reconnect to other servers, or to the same server with an older
+// state. Within one stream a later update is newer, because the server chose to send it later. Across streams and servers,
+// nothing orders two contents, except that a content that was already replaced is most likely outdated if it is sent again.
+// An update with such a content is deferred, and the current content stays in use. The deferred update is applied once its
+// server confirms it in one of two ways:
 //
-//   - by still sending it when the hold time is over (an intended rollback takes effect then), or
-//   - by sending it after the current content on the same stream, unless the current content was replaced and reinstated:
-//     then the stream may be at either of the two times. A removal is applied even then, as sending requests to removed
-//     endpoints is worse than sending none to present ones.
+//   - The update has not been superseded, and its stream has not ended, when the hold time is over. An intended rollback takes
+//     effect then.
+//   - The server sends the update after the current content on the same stream. This does not count if the current content was
+//     replaced and reinstated, because the stream may then be at either of the two times. A removal is applied even in that
+//     case: sending requests to removed endpoints is worse than sending none to existing ones.
 //
-// That a resource is absent is a content like any other, so that an outdated update does not undo a removal.
+// The absence of a resource is treated like a content, so that an outdated update does not undo a removal.
 //
-// The package has no I/O and no clock. An Orderer belongs to one host, which serialises all calls.
+// The package does no I/O and reads no clock. An Orderer is not safe for concurrent use: its owner serialises all calls.
 package updateorder
 
 import (
@@ -27,77 +29,77 @@
 // Absent is the digest of a resource that does not exist.
 var Absent Digest
 
-// Stream identifies one stream to one server. Each stream has its own number, also to the same server.
+// Stream identifies one stream to one server. Each stream has its own number, even if several go to the same server.
 type Stream uint64
 
-// Verdict is what becomes of an update.
+// Verdict is the decision on an update.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Apply     Verdict = iota // newer: current from now on
-	Unchanged                // current already
-	Defer                    // replaced before: deferred until its server has proved that it means it
+	Apply     Verdict = iota // the update is newer and becomes current
+	Unchanged                // the content is already current
+	Defer                    // the content was replaced before: deferred until its server confirms it
 )
 
 // String returns the verdict's name.
 func (v Verdict) String() string { return [...]string{"take", "same", "hold"}[v] }
 
 const (
-	maxReplaced = 16      // replaced contents remembered of one resource
-	maxAbsent   = 100_000 // removed resources remembered; above it the oldest is forgotten
+	maxReplaced = 16      // replaced contents remembered for each resource
+	maxAbsent   = 100_000 // removed resources remembered; beyond this number the oldest is forgotten
 )
 
-// Update is what a server says of one resource.
+// Update is the state of one resource as a server sent it.
 type Update struct {
 	Resource string
-	Version  string // of the resource or of its set, as the server names it; empty: none
+	Version  string // version of the resource or of its set, as sent by the server; empty: none
 	Digest   Digest
 }
 
-// content is a content that was current, or may become current.
+// content is a version and a digest that were current, or may become current.
 type content struct {
 	version string
 	digest  Digest
 }
 
-// resource is what is known of one resource.
+// resource is the state of one resource.
 type resource struct {
 	current content
 	isSet   bool   // whether current is set
-	source  Stream // that sent current, or repeated it last
-	// reinstated: current was replaced before and is current again. ambiguous: another stream that sent it may be at either
-	// of the two times, and has not proved that it is past the content in between.
+	source  Stream // stream that sent current, or repeated it last
+	// reinstated: current was replaced before and is current again. ambiguous: source only repeated the reinstated content, so
+	// it may be at either of the two times and may have yet to send the contents in between.
 	reinstated, ambiguous bool
-	replaced              []content // the newest last
+	replaced              []content // the most recently replaced last
 	deferred              *deferredUpdate
 }
 
-// deferredUpdate is an update with a content that was replaced before.
+// deferredUpdate is an update with a content that was replaced before, and that its server has not confirmed yet.
 type deferredUpdate struct {
 	content
 	source Stream
 	since  time.Time
 }
 
-// Orderer holds the current content of all resources, and those that it replaced.
+// Orderer holds the current content of each resource and the contents that it replaced.
 type Orderer struct {
 	holdTime  time.Duration
 	resources map[string]*resource
-	absent    []string // removed, in the order of removal; may name some that have come back
+	absent    []string // names of removed resources in the order of removal; may include resources that were added again
 }
 
-// New returns an Orderer that defers outdated updates for holdTime.
+// New returns an Orderer that defers outdated updates for at most holdTime.
 func New(holdTime time.Duration) *Orderer {
 	return &Orderer{holdTime: holdTime, resources: map[string]*resource{}}
 }
 
-// Receive decides on an update.
+// Receive decides on an update that stream s has sent, and applies or defers it accordingly.
 func (o *Orderer) Receive(now time.Time, s Stream, u Update) Verdict {
 	r := o.resources[u.Resource]
 	if r == nil {
 		if u.Digest == Absent {
-			return Unchanged // it never existed
+			return Unchanged // removal of an unknown resource
 		}
 		r = &resource{}
 		o.resources[u.Resource] = r
@@ -111,7 +113,7 @@
 		o.apply(u.Resource, r, c, s)
 		return Apply
 	}
-	if r.deferred == nil || r.deferred.source != s || r.deferred.digest != c.digest { // a server that catches up sends several
+	if r.deferred == nil || r.deferred.source != s || r.deferred.digest != c.digest { // a lagging server that catches up sends several outdated contents
 		r.deferred = &deferredUpdate{content: c, source: s, since: now}
 	}
 	if now.Sub(r.deferred.since) >= o.holdTime {
@@ -121,7 +123,7 @@
 	return Defer
 }
 
-// confirm records that a stream has sent the current content, under any version. What is deferred is dropped.
+// confirm records that a stream has sent the current content, under any version. It drops the deferred update.
 func (r *resource) confirm(s Stream, version string) {
 	r.ambiguous = r.reinstated && (r.source != s || r.ambiguous)
 	r.current.version = version
@@ -129,7 +131,7 @@
 	r.deferred = nil
 }
 
-// isNewer reports whether a content other than the current one is newer for certain.
+// isNewer reports whether c, which differs from the current content, is applied without being deferred.
 func (r *resource) isNewer(s Stream, c content) bool {
 	switch {
 	case !r.isSet:
@@ -140,8 +142,8 @@
 	return !r.wasReplaced(c)
 }
 
-// wasReplaced reports whether a content was replaced before, by its digest or by its version: other content under a version
-// that was replaced is not newer.
+// wasReplaced reports whether the digest or the version of c belongs to a content that was replaced before. Different content
+// under a replaced version is not newer.
 func (r *resource) wasReplaced(c content) bool {
 	return slices.ContainsFunc(r.replaced, func(old content) bool {
 		sameVersion := c.version != "" && old.version == c.version && old.version != r.current.version
@@ -149,7 +151,7 @@
 	})
 }
 
-// apply makes a content current.
+// apply makes c, which stream s has sent, the current content of the resource.
 func (o *Orderer) apply(name string, r *resource, c content, s Stream) {
 	r.reinstated = slices.ContainsFunc(r.replaced, func(old content) bool { return old.digest == c.digest })
 	if r.isSet {
@@ -169,7 +171,7 @@
 	}
 }
 
-// forgetOldestAbsent remembers that a resource was removed, and forgets the oldest ones above maxAbsent.
+// forgetOldestAbsent remembers that a resource was removed, and forgets the oldest removed resources beyond maxAbsent.
 func (o *Orderer) forgetOldestAbsent(name string) {
 	o.absent = append(o.absent, name)
 	for len(o.absent) > maxAbsent {
@@ -181,7 +183,7 @@
 	}
 }
 
-// ApplyDue applies the deferred updates whose hold time is over, and returns them by resource.
+// ApplyDue applies the deferred updates whose hold time is over, and returns them sorted by resource name.
 func (o *Orderer) ApplyDue(now time.Time) []Update {
 	var out []Update
 	for _, name := range slices.Sorted(maps.Keys(o.resources)) {
@@ -196,7 +198,7 @@
 	return out
 }
 
-// NextDue returns the time of the next deferred update that ApplyDue applies; zero: there is none.
+// NextDue returns the earliest time at which the hold time of a deferred update is over; zero if no update is deferred.
 func (o *Orderer) NextDue() time.Time {
 	var next time.Time
 	for _, r := range o.resources {
@@ -210,7 +212,7 @@
 	return next
 }
 
-// StreamEnded drops what a stream has sent and not proved. Current contents stay.
+// StreamEnded drops the deferred updates of a stream that has ended. Current contents stay.
 func (o *Orderer) StreamEnded(s Stream) {
 	for _, r := range o.resources {
 		if r.deferred != nil && r.deferred.source == s {
@@ -219,7 +221,7 @@
 	}
 }
 
-// Current returns a resource's current content; ok is false if nothing is known of it.
+// Current returns a resource's current content; ok is false if the resource is unknown.
 func (o *Orderer) Current(name string) (version string, d Digest, ok bool) {
 	r := o.resources[name]
 	if r == nil {
--- a/internal/base/watchedfile/watchedfile.go
+++ b/internal/base/watchedfile/watchedfile.go
@@ -1,4 +1,5 @@
-// Package watchedfile reads a file that is replaced atomically (written beside and renamed) whenever it has changed.
+// Package watchedfile reads a file again whenever it has changed. The file has to be replaced atomically: written under another
+// name and then renamed.
 package watchedfile
 
 import (
@@ -7,16 +8,16 @@
 	"os"
 )
 
-// File is a file that is read again and again. It is not safe for concurrent use.
+// File is a file that is polled for changes. It is not safe for concurrent use.
 type File struct {
 	Path     string
-	MaxBytes int // a larger file is an error
+	MaxBytes int // reading a larger file fails
 
-	last os.FileInfo // of the last read; nil: never, or the file was missing since
+	last os.FileInfo // at the last read; nil: never read, or the file has been missing since
 }
 
-// Read reads the file if it has changed since the last read, or was missing since. A file that cannot be read is an error
-// once, and again when it has changed.
+// Read reads the file if it has changed, or has been missing, since the last read. A missing file is an error at each call. A
+// file that exists but cannot be read is an error once, and again after it has changed.
 func (f *File) Read() (text []byte, changed bool, err error) {
 	info, err := os.Stat(f.Path)
 	if err != nil {
@@ -27,7 +28,7 @@
 		return nil, false, nil
 	}
 	f.last = info
-	if !info.Mode().IsRegular() { // opening a pipe would block
+	if !info.Mode().IsRegular() { // opening a named pipe would block
 		return nil, false, fmt.Errorf("%s: no regular file", f.Path)
 	}
 	file, err := os.Open(f.Path)
@@ -45,7 +46,7 @@
 	return text, true, nil
 }
 
-// isUnchanged reports whether the file is the one of the last read.
+// isUnchanged reports whether info describes the same file, with the same time and size, as at the last read.
 func (f *File) isUnchanged(info os.FileInfo) bool {
 	return f.last != nil &&
 		os.SameFile(info, f.last) &&
--- a/internal/base/watchedfile/watchedfile_test.go
+++ b/internal/base/watchedfile/watchedfile_test.go
@@ -8,15 +8,16 @@
 	"testing"
 )
 
-// TestFile checks that a file is read when it appears, is replaced or comes back, and that a read error is reported once.
-func TestFile(t *testing.T) {
+// TestReadReportsEachChangeOnce checks that a file is read when it appears, is replaced or reappears, and that the error of an
+// unreadable file is reported once.
+func TestReadReportsEachChangeOnce(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	f := File{Path: path, MaxBytes: 5}
-	reads := func(want string, changed bool, fault string) {
+	expectRead := func(want string, changed bool, wantError string) {
 		t.Helper()
-		text, is, err := f.Read()
-		if string(text) != want || is != changed || (err == nil) != (fault == "") || err != nil && !strings.Contains(err.Error(), fault) {
-			t.Errorf("%q, %v, %v; want %q, %v, %q", text, is, err, want, changed, fault)
+		text, gotChanged, err := f.Read()
+		if string(text) != want || gotChanged != changed || (err == nil) != (wantError == "") || err != nil && !strings.Contains(err.Error(), wantError) {
+			t.Errorf("Read = %q, changed %v, error %v; want %q, changed %v, error containing %q", text, gotChanged, err, want, changed, wantError)
 		}
 	}
 	write := func(text string) {
@@ -28,25 +29,25 @@
 			t.Fatal(err)
 		}
 	}
-	reads("", false, "no such file")
+	expectRead("", false, "no such file")
 	write("one")
-	reads("one", true, "")
-	reads("", false, "")
+	expectRead("one", true, "")
+	expectRead("", false, "")
 	write("two")
-	reads("two", true, "")
+	expectRead("two", true, "")
 	write("too long")
-	reads("", false, "over 5 bytes")
-	reads("", false, "")
+	expectRead("", false, "over 5 bytes")
+	expectRead("", false, "")
 	write("")
-	reads("", true, "")
+	expectRead("", true, "")
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	reads("", false, "no such file")
+	expectRead("", false, "no such file")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	reads("", false, "no regular file")
+	expectRead("", false, "no regular file")
 	write("back")
-	reads("back", true, "")
+	expectRead("back", true, "")
 }
