--- a/internal/platform/sidecar/exchange.go
+++ b/internal/platform/sidecar/exchange.go
@@ -16,28 +16,27 @@
 	"silvertrail/lbpolicy"
 )
 
-// exchange is one request with its response. It implements frontend.Exchange and frontend.Streamer.
+// exchange is one request with its response. It implements frontend.Exchange and frontend.StreamingExchange.
 type exchange struct {
 	router      *Router
-	config      *config.Config // when its head was read
+	config      *config.Config // current when the request's head was read
 	upstream    upstream.Request
 	request     lbpolicy.Request
 	requestID   string
-	requestHash uint64 // of requestID, if isStarted
-	isStarted   bool
-	isDuplicate bool // another request has the ID
+	requestHash uint64 // hash of requestID, set if isStarted
+	isStarted   bool   // requestID was new and has been added to the router's IDs
+	isDuplicate bool   // another request has the same requestID
 
 	isKeyed    bool
 	keyID      idempotency.KeyID
 	keyRequest *idempotency.Request
 
-	isReceived bool // its last byte has arrived, or its head if its body is streamed
+	isReceived bool // the request's last byte has arrived, or its head if the body is streamed
 	isAnswered bool
 	outcome    counters.Outcome
 	response   *upstream.Response
 }
 
-// class returns the request's class.
 func (x *exchange) class() *lbpolicy.Class { return &x.config.Policy.Classes[x.request.Class] }
 
 // BodyBudget implements frontend.Exchange.
@@ -62,7 +61,7 @@
 	if x.isKeyed {
 		var err error
 		key, err = x.beginKey()
-		if err != nil { // too many keys: nothing was sent
+		if err != nil { // the key table is full, and no attempt has been sent
 			return engine.Result{Rejected: true, RetryAfter: keysRetryAfter}
 		}
 	}
@@ -70,7 +69,7 @@
 	return result
 }
 
-// beginKey begins a request with an idempotency key in the key table.
+// beginKey adds the request to the key table under its idempotency key. It fails if the table is full.
 func (x *exchange) beginKey() (*engine.Key, error) {
 	var err error
 	x.keyRequest, err = x.router.keys.Begin(time.Now(), x.keyID, idempotency.Fingerprint{})
@@ -86,10 +85,10 @@
 	return key, nil
 }
 
-// MaxBodyBytes implements frontend.Streamer.
+// MaxBodyBytes implements frontend.StreamingExchange.
 func (x *exchange) MaxBodyBytes() int64 { return MaxBodyBytes }
 
-// Stream implements frontend.Streamer.
+// Stream implements frontend.StreamingExchange.
 func (x *exchange) Stream(ctx context.Context, held []byte, rest *frontend.BodyStream) engine.Result {
 	x.upstream.Stream = rest
 	return x.do(ctx, held)
@@ -108,8 +107,9 @@
 	return own
 }
 
-// ownReply returns the sidecar's own reply, or nil for the engine's result. A request with the ID of another one never gets
-// 429 or 503, which would speak of the other one. Nor does a request whose key may have run.
+// ownReply returns the sidecar's own reply, or nil if the engine's result is the reply. A request that repeats the ID of
+// another request never gets 429 or 503, because the client would apply that status to the other request. A request whose
+// idempotency key may already have been executed never gets them either.
 func (x *exchange) ownReply(result engine.Result) *frontend.Reply {
 	switch {
 	case x.isDuplicate:
@@ -125,14 +125,15 @@
 	if !policy.SendsRetryAfter || policy.Tier > 0 {
 		return &frontend.Reply{Status: http.StatusServiceUnavailable}
 	}
-	if policy.MaxRetryAfter > 0 && result.RetryAfter > policy.MaxRetryAfter { // clients ignore a longer one, and may retry at once
+	if policy.MaxRetryAfter > 0 && result.RetryAfter > policy.MaxRetryAfter { // clients ignore a longer Retry-After and may retry at once
 		retryAfter := strconv.FormatFloat(policy.MaxRetryAfter.Seconds(), 'f', 3, 64)
 		return &frontend.Reply{Status: http.StatusServiceUnavailable, Header: http.Header{"Retry-After": {retryAfter}}}
 	}
 	return nil
 }
 
-// mayReject reports whether a retry of the request's key may go anywhere, as nothing with it may have run.
+// mayReject reports whether the request may be rejected. That holds if no attempt with its key can have been executed, so
+// that a retry may go to any endpoint.
 func (x *exchange) mayReject() bool {
 	now := time.Now()
 	scope := x.class().Scope
@@ -141,10 +142,10 @@
 
 // Close implements frontend.Exchange.
 func (x *exchange) Close() {
-	if x.response != nil && x.response.Stream != nil && !x.response.Stream.IsDelivered() { // it broke off, or the client has disconnected
+	if x.response != nil && x.response.Stream != nil && !x.response.Stream.IsDelivered() { // the response was cut off, or the client has disconnected
 		x.outcome = counters.Errored
 	}
-	if x.isReceived || x.isAnswered { // otherwise its body never arrived completely
+	if x.isReceived || x.isAnswered { // otherwise the request's body never arrived completely
 		x.router.counters.RequestEnded(x.class().Name, x.outcome, x.isReceived)
 	}
 	if x.keyRequest != nil {
--- a/internal/platform/sidecar/ids.go
+++ b/internal/platform/sidecar/ids.go
@@ -10,36 +10,37 @@
 	"silvertrail/internal/platform/handover"
 )
 
-// maxEndedIDs bounds the remembered IDs of ended requests: a few seconds of a busy sidecar's traffic.
+// maxEndedIDs bounds the remembered IDs of ended requests. They cover a few seconds of a busy sidecar's traffic.
 const maxEndedIDs = 4096
 
-// requestIDs remembers the IDs of requests in flight and of those that ended lately, to detect repeated ones. An ID is new
-// with every request. Forwarding a repeated one would duplicate the request that has it, and rejecting it with 429 or 503
-// would tell endpoints and clients something wrong about that request. Sidecars share no IDs. A client that repeats IDs on
-// purpose within seconds is answered with 409.
+// requestIDs remembers the IDs of requests in flight and of recently ended requests, to detect repeated IDs. Every request
+// must have a new ID. Forwarding a request with a repeated ID would duplicate the first request. Rejecting it with 429 or 503
+// would give endpoints and clients wrong information about the first request. Sidecars do not share IDs. A client that
+// repeats an ID within seconds gets a response with status 409.
 //
-// It holds hashes, so that its size does not depend on what clients send. IDs in flight are bounded by the connections.
+// requestIDs stores hashes, so that its memory does not depend on the length of the IDs that clients send. The number of IDs
+// in flight is bounded by the number of connections.
 type requestIDs struct {
 	mu     sync.Mutex
-	key    []byte // of the hashes, so that no client can find IDs that collide
+	key    []byte // hash key, so that clients cannot construct IDs that collide
 	hashes map[uint64]struct{}
-	ended  *hashring.Ring
+	ended  *hashring.Ring // hashes of the most recently ended requests
 }
 
 func newRequestIDs() *requestIDs {
 	r := &requestIDs{key: make([]byte, 16), hashes: map[uint64]struct{}{}, ended: hashring.New(maxEndedIDs)}
-	_, _ = rand.Read(r.key) // never fails
+	_, _ = rand.Read(r.key) // crypto/rand.Read never returns an error
 	return r
 }
 
-// hash returns an ID's hash. The caller holds the lock.
+// hash returns the keyed hash of an ID. The caller holds the lock.
 func (r *requestIDs) hash(id string) uint64 {
-	var space [64]byte
-	sum := sha256.Sum256(append(append(space[:0], r.key...), id...))
+	var buffer [64]byte
+	sum := sha256.Sum256(append(append(buffer[:0], r.key...), id...))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// snapshot returns the IDs for another process.
+// snapshot returns the hash key and all remembered IDs, for handover to another process.
 func (r *requestIDs) snapshot() handover.RequestIDs {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,10 +51,11 @@
 	return ids
 }
 
-// maxRestoredIDs bounds the IDs taken from another process: the ended ones, and as many in flight.
+// maxRestoredIDs bounds the IDs taken over from another process: maxEndedIDs of ended requests, and as many in flight.
 const maxRestoredIDs = 2 * maxEndedIDs
 
-// restore takes the IDs of another process, before this one has any. They count as ended lately.
+// restore adds the IDs of another process as IDs of recently ended requests. It does nothing if this process already has IDs
+// or if the hash key has the wrong length.
 func (r *requestIDs) restore(ids handover.RequestIDs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,28 +69,29 @@
 	}
 }
 
-// begin adds an ID. It returns false if it is known.
-func (r *requestIDs) begin(id string) (key uint64, fresh bool) {
+// begin adds the ID of a request and returns the ID's hash. isNew is false if the ID is already known.
+func (r *requestIDs) begin(id string) (hash uint64, isNew bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key = r.hash(id)
-	if _, known := r.hashes[key]; known {
-		return key, false
+	hash = r.hash(id)
+	if _, known := r.hashes[hash]; known {
+		return hash, false
 	}
-	r.hashes[key] = struct{}{}
-	return key, true
+	r.hashes[hash] = struct{}{}
+	return hash, true
 }
 
-// end records that a request was answered.
-func (r *requestIDs) end(key uint64) {
+// end records that the request whose ID has the given hash has ended.
+func (r *requestIDs) end(hash uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.addEnded(key)
+	r.addEnded(hash)
 }
 
-// addEnded records a hash of an ended request, and forgets the oldest one.
-func (r *requestIDs) addEnded(key uint64) {
-	if evicted, ok := r.ended.Add(key); ok {
+// addEnded records the hash of an ended request, and evicts the oldest hash if maxEndedIDs are stored. The caller holds the
+// lock.
+func (r *requestIDs) addEnded(hash uint64) {
+	if evicted, ok := r.ended.Add(hash); ok {
 		delete(r.hashes, evicted)
 	}
 }
--- a/internal/platform/sidecar/ids_test.go
+++ b/internal/platform/sidecar/ids_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-func TestRequestIDs(t *testing.T) {
+// TestEndedRequestIDsAreBounded checks that IDs of ended requests are evicted and that an ID in flight is not.
+func TestEndedRequestIDsAreBounded(t *testing.T) {
 	ids := newRequestIDs()
 	ids.begin("open")
 	for i := range 3 * maxEndedIDs {
-		key, fresh := ids.begin(fmt.Sprint(i))
-		if !fresh {
-			t.Fatal("taken for known")
+		hash, isNew := ids.begin(fmt.Sprint(i))
+		if !isNew {
+			t.Fatal("new request ID was reported as known")
 		}
-		ids.end(key)
+		ids.end(hash)
 	}
-	if _, fresh := ids.begin("open"); fresh {
-		t.Error("an open id was forgotten")
+	if _, isNew := ids.begin("open"); isNew {
+		t.Error("request ID in flight was evicted")
 	}
 	if n := len(ids.hashes); n > maxEndedIDs+1 {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d request IDs are stored, more than maxEndedIDs and one in flight", n)
 	}
 }
--- a/internal/platform/sidecar/keyclaimer.go
+++ b/internal/platform/sidecar/keyclaimer.go
@@ -9,24 +9,25 @@
 	"silvertrail/internal/platform/handover"
 )
 
-// SetHandover lets requests with keys claim them at the process that has taken over from this one.
+// SetHandover sets the handover process. Requests with idempotency keys then claim their keys at the process that has taken
+// over from this one.
 func (r *Router) SetHandover(p *handover.Process) { r.handover.Store(p) }
 
-// keyClaimer claims a request's key at the process that has taken over. It implements engine.Claimer.
+// keyClaimer claims a request's idempotency key at the process that has taken over. It implements engine.Claimer.
 type keyClaimer struct {
 	process *handover.Process
 	id      idempotency.KeyID
 	terms   idempotency.Terms
 
 	mu    sync.Mutex
-	state idempotency.KeyState
+	state idempotency.KeyState // result of the last successful claim
 }
 
 // IsActive implements engine.Claimer.
 func (c *keyClaimer) IsActive() bool { return c.process.IsRetired() }
 
-// Claim implements engine.Claimer. If the other process does not answer, the key's state is unknown, and the attempt is not
-// sent.
+// Claim implements engine.Claimer. If the other process does not respond, the key's state stays unknown and the
+// attempt is not sent.
 func (c *keyClaimer) Claim(ctx context.Context, to idempotency.Place) {
 	now := time.Now()
 	place := idempotency.KeyState{Known: true, Place: to, RetryUntil: now.Add(c.terms.RetryWindow())}
--- a/internal/platform/sidecar/operations.go
+++ b/internal/platform/sidecar/operations.go
@@ -15,7 +15,8 @@
 	Counters *counters.Set
 	// AcceptsClients reports whether this process accepts clients.
 	AcceptsClients func() bool
-	// NotifyEjection notifies the other processes of an upgrade before the call is answered; nil: there are none.
+	// NotifyEjection notifies the other processes of an upgrade before the operator's call gets its response. It is nil if
+	// there are no other processes.
 	NotifyEjection func(ctx context.Context, id string, ejected bool)
 }
 
@@ -29,7 +30,8 @@
 	return snapshot.JSON()
 }
 
-// SetEjected implements admin.Operations. After a nil error it holds in all processes of an upgrade.
+// SetEjected implements admin.Operations. It sets the ejection in this process and then notifies the other processes of an
+// upgrade. After a nil error, the ejection is in effect in this process and in every process that confirmed the notification.
 func (o *Operations) SetEjected(ctx context.Context, id string, ejected bool) error {
 	err := o.Engine.SetManuallyEjected(id, ejected)
 	switch {
--- a/internal/platform/sidecar/parse.go
+++ b/internal/platform/sidecar/parse.go
@@ -14,7 +14,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// The headers of the platform's protocol.
+// Request headers of the platform's protocol.
 const (
 	headerRequestID = "X-Request-Id"
 	headerClass     = "X-Priority-Class"
@@ -26,14 +26,15 @@
 
 const maxRequestIDBytes = 128
 
-// parsedHead is what a request's head says.
+// parsedHead is the content of a request's head: the request to forward and its parameters for load balancing.
 type parsedHead struct {
 	upstream  upstream.Request
 	request   lbpolicy.Request
 	requestID string
 }
 
-// parse parses a request's head. The status is 0 if it can be served.
+// parse parses a request's head. The returned status is 0 if the request is valid, and otherwise the HTTP status of the
+// error response.
 func parse(c *config.Config, r *http.Request) (parsedHead, int) {
 	requestID, ok := requestIDOf(r)
 	if !ok || !strings.HasPrefix(r.RequestURI, "/") {
@@ -71,7 +72,7 @@
 	}, 0
 }
 
-// requestIDOf returns a request's ID. It returns false for an invalid one, or if a header of the protocol is repeated.
+// requestIDOf returns a request's ID. It returns false if the ID is invalid or if a header of the protocol is repeated.
 func requestIDOf(r *http.Request) (id string, ok bool) {
 	for _, name := range []string{headerClass, headerKey, headerTenant, headerTimeout} {
 		if _, isSingle := frontend.SingleValue(r.Header, name); !isSingle {
@@ -82,8 +83,8 @@
 	return id, isSingle && id != "" && len(id) <= maxRequestIDBytes
 }
 
-// classOf returns the index of a request's class: the first part of its path, which the class header may repeat. The status
-// is 0 if the class exists.
+// classOf returns the index of a request's class. The first segment of the path names the class, and the class header may
+// repeat the name. The returned status is 0 if the class exists, and otherwise the HTTP status of the error response.
 func classOf(c *config.Config, r *http.Request) (index, status int) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	if strings.IndexByte(path, '%') >= 0 {
@@ -94,22 +95,22 @@
 		}
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	named := slices.Index(c.Classes, first)
+	pathIndex := slices.Index(c.Classes, first)
 	header := r.Header.Get(headerClass)
-	inHeader := slices.Index(c.Classes, header)
+	headerIndex := slices.Index(c.Classes, header)
 	switch {
-	case header != "" && inHeader < 0 && header != first: // a removed class in both is not found
+	case header != "" && headerIndex < 0 && header != first: // a removed class named by both path and header gives 404 below
 		return 0, http.StatusBadRequest
-	case named < 0:
+	case pathIndex < 0:
 		return 0, http.StatusNotFound
-	case header != "" && inHeader != named:
+	case header != "" && headerIndex != pathIndex:
 		return 0, http.StatusBadRequest
 	}
-	return named, 0
+	return pathIndex, 0
 }
 
-// timeLeftOf returns the time that a request has: its class's deadline, or less if its client says so. A client that says
-// more would only hold a connection for longer.
+// timeLeftOf returns the time left for a request. This is the deadline of its class, or the client's timeout if that is
+// shorter. A longer client timeout is ignored, because it would only keep a connection in use for longer.
 func timeLeftOf(r *http.Request, class *lbpolicy.Class) (time.Duration, error) {
 	values, isSet := r.Header[headerTimeout]
 	if !isSet {
@@ -122,7 +123,7 @@
 	return time.Duration(min(ms, uint64(class.Deadline.Milliseconds()))) * time.Millisecond, nil
 }
 
-// matchesEffect reports whether a request's method and key are those of a class's effect.
+// matchesEffect reports whether a request has the method and the idempotency key that the effect of its class requires.
 func matchesEffect(r *http.Request, e lbpolicy.Effect) bool {
 	isKeyed := r.Header.Get(headerKey) != ""
 	switch e {
--- a/internal/platform/sidecar/router.go
+++ b/internal/platform/sidecar/router.go
@@ -1,6 +1,6 @@
-// Package sidecar is the frontend of the platform's sidecar: one tier, one balancer, classes named by the first part of the
-// path. It reads what the platform's protocol says of a request and passes it to the engine. Takeover shares a host's
-// resources, listener and state with the other processes of an upgrade.
+// Package sidecar is the frontend of the platform's sidecar. It has one tier and one balancer, and the first segment of a
+// request's path names its class. The package parses requests by the platform's protocol and passes them to the engine.
+// Takeover shares a host's resources, listener and state with the other processes of an upgrade.
 package sidecar
 
 import (
@@ -21,20 +21,20 @@
 )
 
 const (
-	maxKeys        = 1 << 15 // remembered, some 6 MB; 10 to 15 s of 2,000 requests a second with keys
+	maxKeys        = 1 << 15 // about 6 MB, which cover 10 to 15 s of 2,000 requests per second with keys
 	keysRetryAfter = time.Second
 )
 
-// MaxBodyBytes bounds the body of a request and of a response.
+// MaxBodyBytes is the maximum size of a request body and of a response body.
 const MaxBodyBytes = 32 << 20
 
 // Router parses requests by the platform's protocol. It implements frontend.Router. Its methods may be called from any
 // goroutine.
 type Router struct {
-	config   atomic.Pointer[config.Config] // for requests whose heads are read from now on
+	config   atomic.Pointer[config.Config] // for requests whose heads have not been read yet
 	engine   *engine.Engine
 	counters *counters.Set
-	bodies   *semaphore.Weighted // bytes of request bodies
+	bodies   *semaphore.Weighted // memory for request bodies, in bytes
 	ids      *requestIDs
 	keys     *idempotency.Table
 
@@ -57,7 +57,8 @@
 	return r
 }
 
-// Configure applies other settings to requests whose heads are read from now on. After an error nothing has changed.
+// Configure applies new settings to requests whose heads have not been read yet. If it returns an error, the old settings
+// stay in effect.
 func (r *Router) Configure(c *config.Config) error {
 	if err := r.engine.Configure(engine.Settings{Policy: c.Policy, Zones: c.Zones, ReportFields: c.ReportFields}); err != nil {
 		return err
--- a/internal/platform/sidecar/router_test.go
+++ b/internal/platform/sidecar/router_test.go
@@ -21,110 +21,111 @@
 	"silvertrail/lbpolicy"
 )
 
-// TestRetriesStayInTheirZone has clients retry a key under another request ID after a lost response: the retries go to the zone
-// that may have run the first attempt only. If that zone has been removed they fail, and other keys are served.
+// TestRetriesStayInTheirZone has clients retry an idempotency key under another request ID after a lost response. The retries
+// must go only to the zone that may have executed the first attempt. If all endpoints of that zone are draining, the retries
+// must fail with 502 and requests with other keys must succeed.
 func TestRetriesStayInTheirZone(t *testing.T) {
 	t.Parallel()
 	c, err := config.Load(lbtest.WriteConfig(t, "", "127.0.0.1:1", "127.0.0.1:1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
+	lbEngine, err := engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
 		Client: upstream.NewClient(upstream.Options{DialTimeout: c.DialTimeout, IdleTimeout: time.Second, MaxConns: 64}), Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	zones := map[string]map[string]bool{} // by key
-	first := map[string]int{}             // the endpoint
+	zones := map[string]map[string]bool{} // zones that received a request, by key
+	first := map[string]int{}             // index of the endpoint that received the first attempt, by key
 	var list []endpointlist.Endpoint
 	for i, zone := range []string{"a", "a", "b", "b"} {
-		e := lbtest.NewEndpoint(t, func(a *lbtest.Arrival) {
-			key := a.Request.Header.Get("Idempotency-Key")
+		endpoint := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) {
+			key := arrival.Request.Header.Get("Idempotency-Key")
 			mu.Lock()
-			fresh := zones[key] == nil
-			if fresh {
+			isFirst := zones[key] == nil
+			if isFirst {
 				zones[key], first[key] = map[string]bool{}, i
 			}
 			zones[key][zone] = true
 			mu.Unlock()
-			if fresh && key[0] == 'l' { // its answer is lost
-				a.Close()
+			if isFirst && key[0] == 'l' { // the response to the first attempt is lost
+				arrival.Close()
 				return
 			}
-			a.OK()
+			arrival.OK()
 		})
-		list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("s", i), Address: e.Addr, Zone: zone, Group: i, Status: "ready"})
+		list = append(list, endpointlist.Endpoint{Name: fmt.Sprint("s", i), Address: endpoint.Addr, Zone: zone, Group: i, Status: "ready"})
 	}
-	h.UpdateEndpoints(lbpolicy.Full, list)
-	l := lbtest.Listen(t)
-	server := frontend.New(NewRouter(c, h, &counters.Set{}, 1<<20), l, admission.SingleGroup(64), log.New(io.Discard, "", 0))
+	lbEngine.UpdateEndpoints(lbpolicy.Full, list)
+	listener := lbtest.Listen(t)
+	server := frontend.New(NewRouter(c, lbEngine, &counters.Set{}, 1<<20), listener, admission.SingleGroup(64), log.New(io.Discard, "", 0))
 	go server.Serve()
 	t.Cleanup(func() { server.Close() })
-	drain := func(which int) {
-		now := slices.Clone(list)
-		now[which].Status = "draining"
-		h.UpdateEndpoints(lbpolicy.Full, now)
+	drain := func(index int) {
+		updated := slices.Clone(list)
+		updated[index].Status = "draining"
+		lbEngine.UpdateEndpoints(lbpolicy.Full, updated)
 	}
-	ask := func(id, key string) int {
+	send := func(id, key string) int {
 		t.Helper()
-		caller := lbtest.Dial(t, l.Addr().String())
-		defer caller.Close()
-		caller.Send(lbtest.Head("POST", "write", id, "Idempotency-Key: "+key, "Content-Length: 0"))
-		status, _ := caller.Response()
+		client := lbtest.Dial(t, listener.Addr().String())
+		defer client.Close()
+		client.Send(lbtest.Head("POST", "write", id, "Idempotency-Key: "+key, "Content-Length: 0"))
+		status, _ := client.Response()
 		return status
 	}
 	for i := range 40 {
 		key := fmt.Sprint("lost-", i)
-		for try := range 3 {
-			if try == 1 { // its endpoint drains: another one of its zone is there
+		for retry := range 3 {
+			if retry == 1 { // the first endpoint drains, and another endpoint of its zone is ready
 				mu.Lock()
-				was := first[key]
+				firstEndpoint := first[key]
 				mu.Unlock()
-				drain(was)
+				drain(firstEndpoint)
 			}
-			// The first may have used up the budget for further attempts.
-			if status := ask(fmt.Sprint(key, "-", try), key); status != 200 && (try > 0 || status != 502) {
-				t.Errorf("%s, try %d: %d", key, try, status)
+			// The first request may fail with 502 if the budget for further attempts is used up.
+			if status := send(fmt.Sprint(key, "-", retry), key); status != 200 && (retry > 0 || status != 502) {
+				t.Errorf("key %s, retry %d: got status %d, want 200", key, retry, status)
 			}
 		}
 	}
 	mu.Lock()
-	for key, in := range zones {
-		if len(in) != 1 {
-			t.Errorf("%s came to %v", key, in)
+	for key, received := range zones {
+		if len(received) != 1 {
+			t.Errorf("key %s reached zones %v, want one zone", key, received)
 		}
 	}
-	gone := zones["lost-0"]
+	drained := zones["lost-0"]
 	mu.Unlock()
 	for i, e := range list {
-		if gone[e.Zone] {
+		if drained[e.Zone] {
 			list[i].Status = "draining"
 		}
 	}
-	h.UpdateEndpoints(lbpolicy.Full, list)
-	if status := ask("late", "lost-0"); status != 502 {
-		t.Errorf("a repeat whose zone has gone: %d", status)
+	lbEngine.UpdateEndpoints(lbpolicy.Full, list)
+	if status := send("late", "lost-0"); status != 502 {
+		t.Errorf("retry whose zone is draining: got status %d, want 502", status)
 	}
-	if status := ask("other", "other"); status != 200 {
-		t.Errorf("another key: %d", status)
+	if status := send("other", "other"); status != 200 {
+		t.Errorf("request with another key: got status %d, want 200", status)
 	}
 }
 
-// TestRetryAfterWithinSettings checks that the sidecar's own rejections tell no longer a Retry-After than clients honour.
-func TestRetryAfterWithinSettings(t *testing.T) {
+// TestRetryAfterIsCappedAtMaximum checks that the Retry-After of a rejection does not exceed the maximum that clients honour.
+func TestRetryAfterIsCappedAtMaximum(t *testing.T) {
 	for name, c := range map[string]struct {
-		most, told time.Duration
-		want       string // of a reply in place of the front's own; empty: there is none
+		maximum, requested time.Duration
+		want               string // Retry-After of the sidecar's own reply, or empty if the engine's result is the reply
 	}{
 		"within":   {2 * time.Second, time.Second, ""},
 		"beyond":   {900 * time.Millisecond, time.Second, "0.900"},
 		"no bound": {0, time.Second, ""},
 	} {
-		conf := &config.Config{Policy: lbpolicy.Settings{SendsRetryAfter: true, MaxRetryAfter: c.most, Classes: []lbpolicy.Class{{}}}}
-		r := (&exchange{config: conf}).ownReply(engine.Result{Rejected: true, RetryAfter: c.told})
-		if (r == nil) != (c.want == "") || r != nil && (r.Status != 503 || r.Header.Get("Retry-After") != c.want) {
-			t.Errorf("%s: %+v", name, r)
+		conf := &config.Config{Policy: lbpolicy.Settings{SendsRetryAfter: true, MaxRetryAfter: c.maximum, Classes: []lbpolicy.Class{{}}}}
+		reply := (&exchange{config: conf}).ownReply(engine.Result{Rejected: true, RetryAfter: c.requested})
+		if (reply == nil) != (c.want == "") || reply != nil && (reply.Status != 503 || reply.Header.Get("Retry-After") != c.want) {
+			t.Errorf("%s: unexpected reply %+v", name, reply)
 		}
 	}
 }
--- a/internal/platform/sidecar/takeover.go
+++ b/internal/platform/sidecar/takeover.go
@@ -15,13 +15,13 @@
 	"silvertrail/lbpolicy"
 )
 
-// Budget bounds the resources of a process. Two processes that replace each other share it: each has half.
+// Budget limits the resources of a process. During an upgrade, the old and the new process share it, and each has half.
 type Budget struct {
 	ClientConns, EndpointConns int
 	HeapBytes, BodyBytes       int64
 }
 
-// Half returns the part of one process while there are two.
+// Half returns the budget of each process while there are two.
 func (b Budget) Half() Budget {
 	return Budget{
 		ClientConns:   max(b.ClientConns/2, 1),
@@ -41,14 +41,14 @@
 	Socket syscall.Conn // the clients' listening socket
 
 	mu       sync.Mutex
-	frontend *frontend.Server // nil: it accepts no clients yet
-	isHalved bool
-	isAlone  bool // the predecessor has ended
+	frontend *frontend.Server // nil until this process accepts clients
+	isHalved bool             // the current budget is half of Budget
+	isAlone  bool             // the predecessor has ended
 }
 
 var _ handover.Host = (*Takeover)(nil)
 
-// ApplyBudget limits this process to half of its budget, or gives it the whole one.
+// ApplyBudget limits this process to half of its budget, or to all of it if half is false.
 func (t *Takeover) ApplyBudget(half bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +65,7 @@
 	t.isHalved = half
 }
 
-// SetFrontend sets the server of clients, and applies the current budget to it.
+// SetFrontend sets the server that accepts clients, and applies the current budget to it.
 func (t *Takeover) SetFrontend(server *frontend.Server) {
 	t.mu.Lock()
 	t.frontend = server
@@ -74,14 +74,14 @@
 	t.ApplyBudget(half)
 }
 
-// currentFrontend returns the server of clients, or nil.
+// currentFrontend returns the server that accepts clients, or nil if there is none yet.
 func (t *Takeover) currentFrontend() *frontend.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.frontend
 }
 
-// ClientConns returns the current bound on clients' connections.
+// ClientConns returns the current limit on client connections.
 func (t *Takeover) ClientConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,8 @@
 		server.Retire()
 	}
 	var keys []idempotency.Record
-	// No attempt is between its claim and its first byte meanwhile: those that have begun are among the keys.
+	// Synchronize ensures that no attempt is between its key claim and its first byte. The keys of attempts that have begun are
+	// therefore in the table.
 	t.Engine.Synchronize(func() {
 		t.Router.keys.Each(time.Now(), func(k idempotency.Record) bool {
 			if k.KeyState.Known {
@@ -168,7 +169,7 @@
 	t.ApplyBudget(false)
 }
 
-// ApplyOffer applies a predecessor's offer, before this process has an endpoint list of its own.
+// ApplyOffer applies a predecessor's offer. It is called before this process has an endpoint list of its own.
 func (t *Takeover) ApplyOffer(o *handover.Offer) {
 	t.Engine.AddListedHashes(o.ListedHashes)
 	for _, id := range o.Ejected {
@@ -177,7 +178,8 @@
 	t.Engine.UpdateEndpoints(lbpolicy.Cached, o.Endpoints)
 }
 
-// ApplyState applies the state of a predecessor that has stopped accepting clients.
+// ApplyState applies the state of a predecessor that has stopped accepting clients. The predecessor's list of manually
+// ejected endpoints replaces the list of this process.
 func (t *Takeover) ApplyState(state *handover.State) {
 	ejected := map[string]bool{}
 	for _, id := range state.Ejected {
