--- a/internal/platform/admin/admin.go
+++ b/internal/platform/admin/admin.go
@@ -1,9 +1,9 @@
-// Package admin serves the administration interface at an address of its own: HTTP/1.1, one call to a connection. It passes
-// calls on and decides nothing.
+// Package admin serves the administration interface at an address of its own. It uses HTTP/1.1 with one call per connection,
+// and passes each call to an Operations implementation.
 //
-// The number of connections is bounded. Above the bound the oldest one without a complete call is closed, so that clients
-// that connect and send nothing cannot exhaust it. A client that is slow with its head may be closed while many others
-// connect.
+// The number of connections is limited. Above the limit, the server closes the oldest connection without a complete call, so
+// that clients that connect and send nothing cannot use up all connections. The connection of a client that sends its request
+// head slowly may therefore be closed while many other clients connect.
 package admin
 
 import (
@@ -20,26 +20,27 @@
 )
 
 const (
-	// MaxConnections bounds the connections: a few clients that hang, and capacity for those that do not.
+	// MaxConnections is the maximum number of connections. It allows for a few clients that hang, with capacity left for
+	// others.
 	MaxConnections = 16
 
-	headTimeout     = 2 * time.Second // a call is a head without a body
+	headTimeout     = 2 * time.Second // for the whole call, which has a head and no body
 	responseTimeout = 2 * time.Second
 	maxHeadBytes    = 8 << 10
 	maxIDBytes      = 256
 )
 
-// ErrUnknownEndpoint says that an endpoint was never in a list.
-var ErrUnknownEndpoint = errors.New("never listed")
+// ErrUnknownEndpoint means that an endpoint was never in an endpoint list.
+var ErrUnknownEndpoint = errors.New("admin: the endpoint was never listed")
 
-// Operations are the calls. They must return within 1 s, as long as a client waits.
+// Operations implements the calls. Each method must return within 1 s, because clients wait no longer.
 type Operations interface {
 	// IsReady reports whether this process accepts clients.
 	IsReady() bool
 	// Stats returns the counters as JSON.
 	Stats() []byte
-	// SetEjected ejects an endpoint, which gets no new requests then, or ends its ejection. It returns ErrUnknownEndpoint for
-	// one that was never listed.
+	// SetEjected ejects an endpoint, so that it gets no new requests, or ends its ejection. It returns ErrUnknownEndpoint for an
+	// endpoint that was never listed.
 	SetEjected(ctx context.Context, id string, ejected bool) error
 }
 
@@ -49,11 +50,11 @@
 	http     *http.Server
 
 	mu      sync.Mutex
-	waiting []net.Conn // without a complete call, the oldest first
-	open    map[net.Conn]bool
+	waiting []net.Conn        // connections without a complete call, oldest first
+	open    map[net.Conn]bool // all connections
 }
 
-// New returns a server on a listener. Serve must be called.
+// New returns a server for a listener. The caller must call Serve.
 func New(l net.Listener, o Operations, errors *log.Logger) *Server {
 	s := &Server{open: map[net.Conn]bool{}}
 	s.listener = l
@@ -63,7 +64,7 @@
 	return s
 }
 
-// Serve serves until Close.
+// Serve accepts connections until Close is called.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("admin: %w", err)
@@ -71,10 +72,11 @@
 	return nil
 }
 
-// Close ends all calls and connections.
+// Close closes the listener and all connections, including those with calls in progress.
 func (s *Server) Close() error { return s.http.Close() }
 
-// trackConnection closes the oldest waiting connection above MaxConnections.
+// trackConnection records the state of a connection. If a new connection exceeds MaxConnections, it closes the oldest
+// connection without a complete call.
 func (s *Server) trackConnection(c net.Conn, state http.ConnState) {
 	var excess net.Conn
 	s.mu.Lock()
@@ -87,7 +89,7 @@
 		}
 		s.open[c] = true
 		s.waiting = append(s.waiting, c)
-	case http.StateActive: // its call is complete, and is answered soon
+	case http.StateActive: // the call is complete and will get its response soon
 		s.removeWaiting(c)
 	case http.StateClosed, http.StateHijacked:
 		s.removeWaiting(c)
@@ -101,8 +103,8 @@
 
 // removeWaiting removes a connection from those without a complete call. The caller holds the lock.
 func (s *Server) removeWaiting(c net.Conn) {
-	for i, o := range s.waiting {
-		if o == c {
+	for i, waiting := range s.waiting {
+		if waiting == c {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
@@ -145,7 +147,7 @@
 	})
 }
 
-// setEjected handles a call to eject an endpoint or to end its ejection.
+// setEjected handles a call to eject an endpoint or to end its ejection. escaped is the endpoint's percent-encoded ID.
 func setEjected(w http.ResponseWriter, r *http.Request, o Operations, escaped string, ejected bool) {
 	if !allow(w, r, http.MethodPut) {
 		return
@@ -167,7 +169,8 @@
 	}
 }
 
-// allow answers a call with another method than allowed, and returns false.
+// allow reports whether a call has the allowed method, or is HEAD where GET is allowed. Otherwise it writes a response with
+// status 405.
 func allow(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method || method == http.MethodGet && r.Method == http.MethodHead {
 		return true
@@ -177,8 +180,8 @@
 	return false
 }
 
-func writeText(w http.ResponseWriter, status int, why string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	fmt.Fprintln(w, why)
+	fmt.Fprintln(w, text)
 }
--- a/internal/platform/admin/admin_test.go
+++ b/internal/platform/admin/admin_test.go
@@ -19,33 +19,35 @@
 )
 
 func TestMain(m *testing.M) {
-	// The server waits for half a second before it closes a connection whose request it has not read whole.
+	// net/http waits for 0.5 s before it closes a connection whose request it has not read completely.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-type operations struct {
-	mu    sync.Mutex
-	ready bool
-	bans  map[string]bool
+// fakeOperations is a fake implementation of Operations that records ejections.
+type fakeOperations struct {
+	mu      sync.Mutex
+	ready   bool
+	ejected map[string]bool // by endpoint ID
 }
 
-func (o *operations) IsReady() bool { o.mu.Lock(); defer o.mu.Unlock(); return o.ready }
-func (o *operations) Stats() []byte { return []byte(`{"current":3}` + "\n") }
+func (o *fakeOperations) IsReady() bool { o.mu.Lock(); defer o.mu.Unlock(); return o.ready }
+func (o *fakeOperations) Stats() []byte { return []byte(`{"current":3}` + "\n") }
 
-func (o *operations) SetEjected(_ context.Context, id string, on bool) error {
+func (o *fakeOperations) SetEjected(_ context.Context, id string, ejected bool) error {
 	if strings.HasPrefix(id, "unknown") {
 		return ErrUnknownEndpoint
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.bans[id] = on
+	o.ejected[id] = ejected
 	return nil
 }
 
-func serve(t *testing.T) (*operations, string) {
+// startServer starts a server, which the test's cleanup closes, and returns its operations and its address.
+func startServer(t *testing.T) (*fakeOperations, string) {
 	t.Helper()
 	l := lbtest.Listen(t)
-	o := &operations{bans: map[string]bool{}}
+	o := &fakeOperations{ejected: map[string]bool{}}
 	s := New(l, o, log.New(io.Discard, "", 0))
 	done := make(chan error)
 	go func() { done <- s.Serve() }()
@@ -58,29 +60,30 @@
 	return o, l.Addr().String()
 }
 
+// call sends the text of a request on a new connection, and returns the response and its body.
 func call(t *testing.T, addr, text string) (*http.Response, string) {
 	t.Helper()
 	c := lbtest.Dial(t, addr)
 	defer c.Close()
 	c.Send(text)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("%.40q: %v", text, err)
+		t.Fatalf("reading the response to request %.40q: %v", text, err)
 	}
-	defer r.Body.Close()
-	body, err := io.ReadAll(r.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, string(body)
+	return response, string(body)
 }
 
-func TestCalls(t *testing.T) {
-	o, addr := serve(t)
+func TestCallsGetExpectedStatusAndBody(t *testing.T) {
+	o, addr := startServer(t)
 	for _, c := range []struct {
 		method, path string
 		status       int
-		says         string
+		wantBody     string // part of the body
 	}{
 		{"GET", "/ops/readiness", 503, "takes no clients"},
 		{"GET", "/ops/stats", 200, `{"current":3}`},
@@ -101,30 +104,31 @@
 		{"GET", "/ops/readiness?verbose=1", 503, ""},
 	} {
 		r, body := call(t, addr, fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", c.method, c.path))
-		if r.StatusCode != c.status || !strings.Contains(body, c.says) || strings.Count(body, "\n") != 1 || !r.Close {
-			t.Errorf("%s %s: %d %q, close %t", c.method, c.path, r.StatusCode, body, r.Close)
+		if r.StatusCode != c.status || !strings.Contains(body, c.wantBody) || strings.Count(body, "\n") != 1 || !r.Close {
+			t.Errorf("%s %s: unexpected response with status %d, body %q, close %t", c.method, c.path, r.StatusCode, body, r.Close)
 		}
 		if allow := r.Header.Get("Allow"); (allow != "") != (c.status == 405) {
-			t.Errorf("%s %s: Allow %q", c.method, c.path, allow)
+			t.Errorf("%s %s: unexpected header Allow %q", c.method, c.path, allow)
 		}
 	}
-	if len(o.bans) != 2 || o.bans["s-1"] || !o.bans["s/2 x"] {
-		t.Error(o.bans)
+	if len(o.ejected) != 2 || o.ejected["s-1"] || !o.ejected["s/2 x"] {
+		t.Error(o.ejected)
 	}
 	o.mu.Lock()
 	o.ready = true
 	o.mu.Unlock()
 	if r, _ := call(t, addr, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode != http.StatusOK {
-		t.Error("not ready")
+		t.Error("readiness call did not return status 200 although the process accepts clients")
 	}
 	if r, _ := call(t, addr, "GET /ops/stats HTTP/1.1\r\nHost: x\r\nX: "+strings.Repeat("y", 4*maxHeadBytes)+"\r\n\r\n"); r.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("a huge head: %d", r.StatusCode)
+		t.Errorf("oversized request head: got status %d, want 431", r.StatusCode)
 	}
 }
 
-// TestIncompleteCalls has many clients connect without completing a call: the oldest are closed, and a complete call is answered.
-func TestIncompleteCalls(t *testing.T) {
-	_, addr := serve(t)
+// TestOldestIncompleteCallsAreClosed has many clients connect without completing a call. The server must close the oldest
+// connections, so that it can still serve complete calls.
+func TestOldestIncompleteCallsAreClosed(t *testing.T) {
+	_, addr := startServer(t)
 	var open []*lbtest.Client
 	for i := range 5 * MaxConnections {
 		c := lbtest.Dial(t, addr)
@@ -134,16 +138,16 @@
 		open = append(open, c)
 		if i%8 == 0 {
 			if r, _ := call(t, addr, "GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode != http.StatusOK {
-				t.Errorf("after %d: %d", i, r.StatusCode)
+				t.Errorf("complete call after incomplete call %d: got status %d, want 200", i, r.StatusCode)
 			}
 		}
 	}
 	for _, c := range open[:3*MaxConnections] {
 		var timeout net.Error
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("an unfinished call got an answer")
+			t.Error("incomplete call got a response")
 		} else if errors.As(err, &timeout) && timeout.Timeout() {
-			t.Error("an old unfinished call is still open")
+			t.Error("connection of an old incomplete call is still open")
 		}
 	}
 }
--- a/internal/platform/counters/counters.go
+++ b/internal/platform/counters/counters.go
@@ -1,6 +1,6 @@
-// Package counters counts what a sidecar has done for its clients and sent to its endpoints. Each request that was received
-// ends in exactly one outcome, under the class that it was received in; no counter decreases. It does no I/O and has no
-// clock.
+// Package counters counts the outcomes of clients' requests and the attempts sent to endpoints. Each request that was received
+// counts under exactly one outcome and under the class that it had on arrival. No counter decreases, except the number of
+// requests in flight. The package does no I/O and uses no clock.
 package counters
 
 import (
@@ -9,36 +9,37 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client sees it.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Answered Outcome = iota // an endpoint's response was delivered
-	Rejected                // 429 or 503
-	Errored                 // anything else, also if the client has disconnected
-	outcomes
+	Answered Outcome = iota // an endpoint's response was delivered completely
+	Rejected                // the response had status 429 or 503
+	Errored                 // any other result, including a client that disconnected
+	outcomeCount
 )
 
-// maxClasses bounds the class names: removed classes keep their counters, and every reload may bring new ones. Further
-// names count as OtherClass.
+// maxClasses bounds the number of class names. Without it, the number could grow with every reload, because removed classes
+// keep their counters. Requests of further classes count under OtherClass.
 const maxClasses = 256
 
-// OtherClass is the name of classes beyond maxClasses.
+// OtherClass is the class name that counts the requests of all classes beyond maxClasses.
 const OtherClass = "_other"
 
-// Set holds the counters. The zero Set is ready for use; it is safe for concurrent use.
+// Set holds the counters. The zero Set is ready for use. A Set is safe for concurrent use.
 type Set struct {
-	AttemptsSent    atomic.Int64 // written completely
-	ConfigsApplied  atomic.Int64 // at SIGHUP
-	ConfigsRejected atomic.Int64
+	AttemptsSent    atomic.Int64 // attempts whose request was written completely
+	ConfigsApplied  atomic.Int64 // reloads at SIGHUP that succeeded
+	ConfigsRejected atomic.Int64 // reloads at SIGHUP that failed
 
 	mu       sync.Mutex
 	classes  map[string]*counts
 	inFlight int64
 }
 
-type counts [outcomes]int64
+// counts holds the counters of one class, by outcome.
+type counts [outcomeCount]int64
 
 // AddClasses adds classes, so that a Snapshot shows them before their first request.
 func (s *Set) AddClasses(names []string) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// countsOf returns a class's counters. The caller holds the lock.
+// countsOf returns the counters of a class, and adds the class if it is new. The caller holds the lock.
 func (s *Set) countsOf(class string) *counts {
 	if c := s.classes[class]; c != nil {
 		return c
@@ -66,14 +67,15 @@
 	return s.classes[class]
 }
 
-// RequestReceived counts a request whose last byte has arrived, or whose head has if its body is streamed.
+// RequestReceived counts a request as in flight. It is called when the request's last byte has arrived, or its head if the
+// body is streamed.
 func (s *Set) RequestReceived() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
 }
 
-// RequestEnded counts the outcome of a request; wasReceived says whether RequestReceived was called for it.
+// RequestEnded counts the outcome of a request. wasReceived states whether RequestReceived was called for the request.
 func (s *Set) RequestEnded(class string, o Outcome, wasReceived bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,14 +85,14 @@
 	s.countsOf(class)[o]++
 }
 
-// InFlight returns the number of requests that were received and have not ended.
+// InFlight returns the number of requests that have been received and have not ended.
 func (s *Set) InFlight() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
 }
 
-// Snapshot is a copy of the counters, in the form of the administration interface.
+// Snapshot is a copy of the counters. Its JSON encoding is the response of the administration interface.
 type Snapshot struct {
 	Answered         map[string]int64 `json:"answered"`
 	Rejected         map[string]int64 `json:"deferred"`
@@ -103,7 +105,7 @@
 	ConfigsRejected  int64            `json:"conf_invalid"`
 }
 
-// Snapshot returns a copy. The caller sets the size of the cluster and how many of its endpoints are unhealthy.
+// Snapshot returns a copy of the counters. The caller sets ClusterSize and ClusterUnhealthy.
 func (s *Set) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Answered:        map[string]int64{},
@@ -124,10 +126,10 @@
 	return snapshot
 }
 
-// JSON returns the snapshot as a line of JSON.
+// JSON returns the snapshot as JSON on a single line, with a newline at the end.
 func (s Snapshot) JSON() []byte {
 	text, err := json.Marshal(s)
-	if err != nil { // it holds numbers and names only
+	if err != nil { // encoding cannot fail, because a Snapshot holds only numbers and strings
 		panic(err)
 	}
 	return append(text, '\n')
--- a/internal/platform/counters/counters_test.go
+++ b/internal/platform/counters/counters_test.go
@@ -8,53 +8,56 @@
 	"testing"
 )
 
-func TestSet(t *testing.T) {
-	var b Set
-	b.AddClasses([]string{"read", "write"})
-	if text := string(b.Snapshot().JSON()); !strings.Contains(text, `"answered":{"read":0,"write":0}`) || !strings.HasSuffix(text, "}\n") {
+// TestEachOutcomeIsCountedOnce has several goroutines count requests. No count may be lost, and removed classes must keep their
+// counts.
+func TestEachOutcomeIsCountedOnce(t *testing.T) {
+	var set Set
+	set.AddClasses([]string{"read", "write"})
+	if text := string(set.Snapshot().JSON()); !strings.Contains(text, `"answered":{"read":0,"write":0}`) || !strings.HasSuffix(text, "}\n") {
 		t.Error(text)
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			for n := range 300 {
-				b.RequestReceived()
-				b.AttemptsSent.Add(1)
-				b.RequestEnded([]string{"read", "write", "gone"}[n%3], Outcome(i%3), true)
+				set.RequestReceived()
+				set.AttemptsSent.Add(1)
+				set.RequestEnded([]string{"read", "write", "gone"}[n%3], Outcome(i%3), true)
 			}
-			b.RequestEnded("read", Rejected, false) // its body never came: it was not taken
+			set.RequestEnded("read", Rejected, false) // the request's body never arrived, so it was not received
 		})
 	}
-	b.RequestReceived()
-	all.Wait()
-	b.AddClasses([]string{"write"}) // what has vanished keeps its counts
-	f := b.Snapshot()
+	set.RequestReceived()
+	wg.Wait()
+	set.AddClasses([]string{"write"}) // a class that is no longer configured keeps its counts
+	snapshot := set.Snapshot()
 	total := int64(0)
-	for _, of := range []map[string]int64{f.Answered, f.Rejected, f.Errored} {
-		for _, n := range of {
+	for _, byClass := range []map[string]int64{snapshot.Answered, snapshot.Rejected, snapshot.Errored} {
+		for _, n := range byClass {
 			total += n
 		}
 	}
-	if total != 8*300+8 || f.InFlight != 1 || f.AttemptsSent != 2400 || f.Answered["gone"] != 300 || f.Errored["read"] != 200 {
-		t.Errorf("%+v", f)
+	if total != 8*300+8 || snapshot.InFlight != 1 || snapshot.AttemptsSent != 2400 || snapshot.Answered["gone"] != 300 || snapshot.Errored["read"] != 200 {
+		t.Errorf("unexpected counters: %+v", snapshot)
 	}
-	if json.Unmarshal(f.JSON(), &Snapshot{}) != nil {
-		t.Error("not in its own form")
+	if json.Unmarshal(snapshot.JSON(), &Snapshot{}) != nil {
+		t.Error("the JSON of a snapshot cannot be decoded into a Snapshot")
 	}
 }
 
-// TestSetBound adds more class names than are kept: memory is bounded, and no count is lost.
-func TestSetBound(t *testing.T) {
-	var b Set
+// TestClassesBeyondLimitCountUnderOtherClass counts requests of more classes than maxClasses. The number of class names must
+// stay bounded, and no count may be lost.
+func TestClassesBeyondLimitCountUnderOtherClass(t *testing.T) {
+	var set Set
 	for i := range 3 * maxClasses {
-		b.RequestEnded(fmt.Sprint("c", i), Answered, false)
+		set.RequestEnded(fmt.Sprint("c", i), Answered, false)
 	}
-	f := b.Snapshot()
+	snapshot := set.Snapshot()
 	total := int64(0)
-	for _, n := range f.Answered {
+	for _, n := range snapshot.Answered {
 		total += n
 	}
-	if len(f.Answered) > maxClasses+1 || total != 3*maxClasses || f.Answered[OtherClass] == 0 {
-		t.Errorf("%d names, %d requests", len(f.Answered), total)
+	if len(snapshot.Answered) > maxClasses+1 || total != 3*maxClasses || snapshot.Answered[OtherClass] == 0 {
+		t.Errorf("unexpected counters: %d class names, %d requests", len(snapshot.Answered), total)
 	}
 }
--- a/internal/platform/counters/format_test.go
+++ b/internal/platform/counters/format_test.go
@@ -6,9 +6,9 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// TestFormat checks the JSON of the administration interface.
+// TestFormat compares the JSON of a Snapshot, which the administration interface returns, with the golden file stats.json.
 func TestFormat(t *testing.T) {
-	var f Snapshot
-	golden.Fill(&f)
-	golden.Text(t, "stats.json", f.JSON())
+	var snapshot Snapshot
+	golden.Fill(&snapshot)
+	golden.Text(t, "stats.json", snapshot.JSON())
 }
