--- a/internal/platform/counters/counters.go
+++ b/internal/platform/counters/counters.go
@@ -14,7 +14,7 @@
 
 // The outcomes.
 const (
-	Answered Outcome = iota // an endpoint's response was delivered completely
+	Answered Outcome = iota // an endpoint's response was delivered
 	Rejected                // the response had status 429 or 503
 	Errored                 // any other result, including a client that disconnected
 	outcomeCount
--- a/internal/platform/sidecar/exchange.go
+++ b/internal/platform/sidecar/exchange.go
@@ -108,8 +108,8 @@
 }
 
 // ownReply returns the sidecar's own reply, or nil if the engine's result is the reply. A request that repeats the ID of
-// another request never gets 429 or 503, because the client would apply that status to the other request. A request whose
-// idempotency key may already have been executed never gets them either.
+// another request never gets 429 or 503, because the status would be taken as the result of the other request. A request
+// whose idempotency key may already have been executed never gets them either.
 func (x *exchange) ownReply(result engine.Result) *frontend.Reply {
 	switch {
 	case x.isDuplicate:
--- a/internal/platform/sidecar/takeover.go
+++ b/internal/platform/sidecar/takeover.go
@@ -110,8 +110,8 @@
 		server.Retire()
 	}
 	var keys []idempotency.Record
-	// Synchronize ensures that no attempt is between its key claim and its first byte. The keys of attempts that have begun are
-	// therefore in the table.
+	// While Synchronize calls the function, no attempt is between its key claim and its first byte. The keys of all attempts
+	// that have begun are therefore in the table.
 	t.Engine.Synchronize(func() {
 		t.Router.keys.Each(time.Now(), func(k idempotency.Record) bool {
 			if k.KeyState.Known {
