--- a/internal/platform/sidecar/exchange.go
+++ b/internal/platform/sidecar/exchange.go
@@ -108,8 +108,8 @@
 }
 
 // ownReply returns the sidecar's own reply, or nil if the engine's result is the reply. A request that repeats the ID of
-// another request never gets 429 or 503, because the status would be taken as the result of the other request. A request
-// whose idempotency key may already have been executed never gets them either.
+// another request never gets 429 or 503, because the status would be taken as the result of the other request. A keyed
+// request for which mayReject returns false never gets them either.
 func (x *exchange) ownReply(result engine.Result) *frontend.Reply {
 	switch {
 	case x.isDuplicate:
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// mayReject reports whether the request may be rejected. That holds if no attempt with its key can have been executed, so
-// that a retry may go to any endpoint.
+// mayReject reports whether the request may be rejected, which tells its client that a retry may go to any endpoint. That
+// holds if no attempt with its key can have been executed, or while all endpoints still drop repeats of the key.
 func (x *exchange) mayReject() bool {
 	now := time.Now()
 	scope := x.class().Scope
