--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -25,12 +25,12 @@
 // Config is a sidecar's configuration.
 type Config struct {
 	Name       string
-	Listen     string // address for clients
+	Listen     string // address on which client requests are accepted
 	Discovery  string // address of the discovery service
-	Admin      string // address for operators; empty: none
+	Admin      string // address of the operators' HTTP interface; empty: disabled
 	Seed       uint64
 	Limits     Limits
-	CachedList json.RawMessage // the last endpoint list, in discovery's form; nil: none
+	CachedList json.RawMessage // the last known endpoint list, in the discovery protocol's format; nil: none
 
 	Policy       lbpolicy.Settings
 	Classes      []string // names, in the order of Decide.Classes
@@ -39,10 +39,10 @@
 	ReportFields []string // fields of a load report, in the order of Decide.Report
 	DialTimeout  time.Duration
 
-	text []byte // as read
+	text []byte // contents of the configuration file; Next compares the keys of its replacement with them
 }
 
-// MaxDeadline returns the longest deadline of a class.
+// MaxDeadline returns the longest request deadline of all classes.
 func (c *Config) MaxDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Policy.Classes {
@@ -51,7 +51,7 @@
 	return longest
 }
 
-// file is the configuration file.
+// file is the JSON form of the configuration file.
 type file struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -63,7 +63,8 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// names are the settings that only a sidecar needs: the policy uses indexes, the protocol uses names.
+// names holds the settings that the policy does not read. The policy identifies classes, tenants and zones by index. The
+// sidecar's protocol identifies them by name.
 type names struct {
 	Classes []struct {
 		Name string `json:"name"`
@@ -80,12 +81,12 @@
 	} `json:"limits"`
 }
 
-// Load reads the configuration; an error names the file and the invalid key. Unknown keys are ignored. Without an address for
-// operators in the file, the environment's LB_ADMIN is used.
+// Load reads the configuration from path. An error names the file and the invalid key. Unknown keys are ignored. If the file
+// has no admin address, the environment variable LB_ADMIN provides it.
 func Load(path string) (*Config, error) { return load(path, nil) }
 
-// Next reads the configuration that replaces this one. Beyond what Load requires, no key of this one's file may be missing.
-// Zones keep their numbers, whatever their order in the file.
+// Next reads the configuration that replaces c. Besides the keys that Load requires, the new file must have every key of the
+// current file, except optionalKeys. Zones keep their indexes even if the new file lists them in another order.
 func (c *Config) Next(path string) (*Config, error) {
 	next, err := load(path, c.text)
 	if err != nil {
@@ -97,7 +98,7 @@
 	return next, nil
 }
 
-// keepZoneOrder puts the zones in the earlier order, and new ones after it, as endpoints are known by their zone's number.
+// keepZoneOrder sorts the zones in the earlier order and appends new zones, because endpoints refer to a zone by its index.
 func (c *Config) keepZoneOrder(earlier []string) error {
 	if c.Policy.Zone >= len(c.Zones) {
 		return fmt.Errorf("settings.zone: there is no zone %d", c.Policy.Zone)
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// load reads a configuration; current is the text of the one in use, nil if there is none.
+// load reads the configuration from path. The argument current is the text of the configuration in use, or nil if there is none.
 func load(path string, current []byte) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("config: LB_CONFIG is not set")
@@ -170,7 +171,7 @@
 	return c, nil
 }
 
-// settings parses the settings, and checks them with the policy.
+// settings parses the settings object and validates it by creating a policy from it.
 func (c *Config) settings(text []byte) error {
 	var err error
 	if c.Policy, err = settings.Parse(text); err != nil {
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -12,7 +12,7 @@
 	"silvertrail/lbpolicy"
 )
 
-func TestLoad(t *testing.T) {
+func TestLoadReadsConfiguration(t *testing.T) {
 	c, err := Load(lbtest.WriteConfig(t, "", "127.0.0.1:5000", "127.0.0.1:8500"))
 	if err != nil {
 		t.Fatal(err)
@@ -21,13 +21,13 @@
 		strings.Join(c.Classes, " ") != "read write" || strings.Join(c.Tenants, " ") != "acme" || strings.Join(c.Zones, " ") != "a b" ||
 		strings.Join(c.ReportFields, " ") != "util" || c.MaxDeadline() != 10*time.Second || c.Policy.Classes[1].Effect != lbpolicy.KeyedIdempotent ||
 		c.Limits != (Limits{Cores: 1, MemoryMB: 64, Sockets: 256}) {
-		t.Errorf("%+v", c)
+		t.Errorf("unexpected configuration %+v", c)
 	}
 }
 
-// TestLoadFaults checks that an error names the invalid key and the file.
-func TestLoadFaults(t *testing.T) {
-	good, err := os.ReadFile(lbtest.WriteConfig(t, "", "127.0.0.1:5000", "127.0.0.1:8500"))
+// TestLoadErrorNamesFileAndInvalidKey checks that the error for an invalid file names the file and the invalid key.
+func TestLoadErrorNamesFileAndInvalidKey(t *testing.T) {
+	valid, err := os.ReadFile(lbtest.WriteConfig(t, "", "127.0.0.1:5000", "127.0.0.1:8500"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 		"MaxAttempts":           {`"max_attempts": 3`, `"max_attempts": 0`},
 		"unexpected end of JSO": {`}}`, `}`},
 	} {
-		text := strings.Replace(string(good), change[0], change[1], 1)
+		text := strings.Replace(string(valid), change[0], change[1], 1)
 		if want == "unexpected end of JSO" {
 			text = text[:len(text)-1]
 		}
@@ -61,12 +61,12 @@
 			t.Fatal(err)
 		}
 		if _, err := Load(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
-			t.Errorf("want %s: %v", want, err)
+			t.Errorf("want an error that contains %s and the path, got %v", want, err)
 		}
 	}
 }
 
-// FuzzParse parses any bytes: what is accepted is in its bounds.
+// FuzzParse checks that a configuration that is accepted has valid limits, classes and zones, whatever bytes are parsed.
 func FuzzParse(f *testing.F) {
 	if text, err := os.ReadFile(lbtest.WriteConfig(f, "", "127.0.0.1:5000", "127.0.0.1:8500")); err == nil {
 		f.Add(text)
@@ -74,7 +74,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := parse(text, nil)
 		if err == nil && (c.Limits.Sockets < 64 || len(c.Classes) == 0 || len(c.Classes) != len(c.Policy.Classes) || len(c.Zones) == 0) {
-			t.Fatalf("%+v", c)
+			t.Fatalf("invalid configuration accepted: %+v", c)
 		}
 	})
 }
--- a/internal/platform/config/keys.go
+++ b/internal/platform/config/keys.go
@@ -8,25 +8,27 @@
 	"strings"
 )
 
-// requiredKeys are the keys that every file must have: without one of them a limit would silently be zero.
+// requiredKeys are the keys that every file must have. A missing key would silently set a limit to zero.
 var requiredKeys = []string{"limits.cores", "limits.memory_mb", "limits.sockets",
 	"settings.balancers", "settings.me", "settings.tier", "settings.zone", "settings.zones", "settings.classes",
 	"settings.registry_mode", "settings.limits.max_attempts", "settings.limits.dial_timeout",
 	"settings.obligations.cold", "settings.obligations.fall", "settings.obligations.fall_multiple",
 	"settings.obligations.start_capacity"}
 
-// The keys that each class must have, and those of a class with idempotency keys.
+// requiredClassKeys are the keys that each class must have. requiredKeyedClassKeys are the further keys of a class whose
+// requests carry idempotency keys.
 var (
 	requiredClassKeys      = []string{"name", "deadline", "goal_time", "effect", "worth"}
 	requiredKeyedClassKeys = []string{"key_scope", "window"}
 )
 
-// optionalKeys may be missing though an earlier file had them: they matter at the start only, or the protocol allows it.
+// optionalKeys may be missing even if the current file has them: they are used only at start, or the protocol makes them
+// optional.
 var optionalKeys = map[string]bool{"known": true, "admin": true, "peers": true, "peers_all": true, "peer_listen": true,
 	"settings.family_info": true, "settings.tariffs.fleet": true}
 
-// checkKeys returns an error for a key that a file lacks: a required one, or one that the current file has. It guards against
-// files that were truncated or edited by hand and can still be parsed. A key cannot be removed on purpose.
+// checkKeys returns an error if text lacks a required key or a key that the current file has. It guards against files that
+// were truncated or edited by hand but can still be parsed. As a consequence, a key cannot be removed on purpose.
 func checkKeys(text, current []byte) error {
 	var next map[string]any
 	if err := json.Unmarshal(text, &next); err != nil {
@@ -50,7 +52,7 @@
 	return checkKeysKept(previous, next, "")
 }
 
-// checkClassKeys returns an error for a key that a class lacks.
+// checkClassKeys returns an error if a class lacks a required key.
 func checkClassKeys(file map[string]any) error {
 	settings, _ := file["settings"].(map[string]any)
 	classes, _ := settings["classes"].([]any)
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// hasKey reports whether an object has a value that is not null at a path.
+// hasKey reports whether the object has a value other than null at a dot-separated path.
 func hasKey(object map[string]any, path string) bool {
 	var value any = object
 	for key := range strings.SplitSeq(path, ".") {
@@ -85,7 +87,7 @@
 	return true
 }
 
-// checkKeysKept returns an error for a key of the previous object that the next one lacks. Entries of lists may differ.
+// checkKeysKept returns an error if the next object lacks a key of the previous object. Objects within lists are not compared.
 func checkKeysKept(previous, next map[string]any, prefix string) error {
 	for _, key := range slices.Sorted(maps.Keys(previous)) {
 		path := prefix + key
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings parses the object with an instance's classes, tenants, limits and obligations. It is the same in the
-// simulator's first message and in a sidecar's configuration, and maps the platform's words (goal_time, worth, customers,
-// cold, fall) to the terms of lbpolicy.
+// Package settings parses the settings object with an instance's classes, tenants, limits and obligations. The object has the
+// same form in the simulator's first message and in a sidecar's configuration. The package maps the platform's keys
+// (goal_time, worth, customers, cold, fall) to the terms of lbpolicy.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"silvertrail/lbpolicy"
 )
 
-// document is the object with the platform's keys.
+// document is the JSON form of the settings object, with the platform's keys.
 type document struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
@@ -66,25 +66,25 @@
 		"zone": lbpolicy.ScopeZone, "cell": lbpolicy.ScopeCell}
 )
 
-// Parse parses an instance's settings; an error names the invalid key.
+// Parse parses an instance's settings. An error names the invalid key.
 func Parse(text []byte) (lbpolicy.Settings, error) {
-	var p document
-	if err := json.Unmarshal(text, &p); err != nil {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return lbpolicy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := lbpolicy.Settings{
-		Balancers: p.Balancers, Index: p.Me, Zone: p.Zone, Tier: p.Tier,
-		RetriesMarked: p.Clients.MarksRetry,
-		PollDiscovery: p.Registry == "on_request", MaxPollInterval: seconds(p.Obligations.MustAskIn),
-		MaxAttempts: p.Limits.MaxAttempts, MayCancel: p.Limits.Cancelling, MayHedge: p.Limits.MayDuplicate,
-		SendsRetryAfter: p.Limits.RetryAfter, MaxRetryAfter: seconds(p.Limits.MaxRetryAfter),
-		ConnIdleTimeout: seconds(p.Limits.ConnIdle),
-		InitialCapacity: p.Obligations.StartCapacity,
-		SlowStart:       seconds(p.Obligations.Cold), OverloadMultiple: p.Obligations.FallMultiple,
-		OverloadWindow: seconds(p.Obligations.Fall),
-		CrossZonePrice: p.Tariffs.CrossZone, HandshakePrice: p.Tariffs.Handshake,
+		Balancers: doc.Balancers, Index: doc.Me, Zone: doc.Zone, Tier: doc.Tier,
+		RetriesMarked: doc.Clients.MarksRetry,
+		PollDiscovery: doc.Registry == "on_request", MaxPollInterval: seconds(doc.Obligations.MustAskIn),
+		MaxAttempts: doc.Limits.MaxAttempts, MayCancel: doc.Limits.Cancelling, MayHedge: doc.Limits.MayDuplicate,
+		SendsRetryAfter: doc.Limits.RetryAfter, MaxRetryAfter: seconds(doc.Limits.MaxRetryAfter),
+		ConnIdleTimeout: seconds(doc.Limits.ConnIdle),
+		InitialCapacity: doc.Obligations.StartCapacity,
+		SlowStart:       seconds(doc.Obligations.Cold), OverloadMultiple: doc.Obligations.FallMultiple,
+		OverloadWindow: seconds(doc.Obligations.Fall),
+		CrossZonePrice: doc.Tariffs.CrossZone, HandshakePrice: doc.Tariffs.Handshake,
 	}
-	for i, c := range p.Classes {
+	for i, c := range doc.Classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
 			return s, fmt.Errorf("settings: classes[%d].effect: unknown %q", i, c.Effect)
@@ -96,15 +96,16 @@
 		s.Classes = append(s.Classes, lbpolicy.Class{Name: c.Name, LatencyObjective: seconds(c.Aim), Deadline: seconds(c.Deadline),
 			PriorityWeight: c.Worth, Effect: effect, Scope: scope, Window: seconds(c.Window)})
 	}
-	for _, c := range p.Customers {
+	for _, c := range doc.Customers {
 		s.Tenants = append(s.Tenants, lbpolicy.Tenant{Name: c.Name, QuotaPerSecond: c.Quota})
 	}
-	if p.Telemetry.Via == "inline" {
-		for _, f := range p.Telemetry.Fields {
+	if doc.Telemetry.Via == "inline" {
+		for _, f := range doc.Telemetry.Fields {
 			s.ReportFields = append(s.ReportFields, lbpolicy.Fields[f])
 		}
 	}
 	return s, nil
 }
 
+// seconds converts seconds to a duration, rounded to a microsecond.
 func seconds(s float64) time.Duration { return time.Duration(math.Round(s*1e6)) * time.Microsecond }
