--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -27,7 +27,7 @@
 	Name       string
 	Listen     string // address on which client requests are accepted
 	Discovery  string // address of the discovery service
-	Admin      string // address of the operators' HTTP interface; empty: disabled
+	Admin      string // address of the operators' interface; empty: disabled
 	Seed       uint64
 	Limits     Limits
 	CachedList json.RawMessage // the last known endpoint list, in the discovery protocol's format; nil: none
@@ -63,7 +63,7 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// names holds the settings that the policy does not read. The policy identifies classes, tenants and zones by index. The
+// names holds the settings that a sidecar needs besides the policy's. The policy identifies classes, tenants and zones by index. The
 // sidecar's protocol identifies them by name.
 type names struct {
 	Classes []struct {
--- a/internal/platform/discoverypoll/load_test.go
+++ b/internal/platform/discoverypoll/load_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// This file: the load of many instances on one discovery, which serves calls in turn.
+// The tests in this file simulate the load of many instances on one discovery service, which serves one call at a time.
 
 const (
-	service = 4 * time.Millisecond // for a call, and for an answer to a watch
-	queue   = 1 * time.Second      // a call that would wait longer for its turn is turned away
+	serviceTime   = 4 * time.Millisecond // of discovery for a call, and for the response to a watch
+	maxQueueDelay = 1 * time.Second      // a call that would be queued for longer is rejected
 )
 
 type event struct {
@@ -31,41 +31,43 @@
 	return last
 }
 
-// trouble is a fault of discovery.
-type trouble int
+// discoveryFault is a fault of the discovery service.
+type discoveryFault int
 
 const (
-	well   trouble = iota
-	down           // 503 to each
-	silent         // takes calls in and never answers
+	healthy      discoveryFault = iota
+	down                        // rejects each call with status 503
+	unresponsive                // accepts calls and never responds
 )
 
-// fleet is one discovery and its instances, in simulated time.
+// fleet is a discovery service and the instances that poll it, in simulated time.
 type fleet struct {
 	now   time.Duration
 	queue events
 
-	trouble trouble
-	version int
-	busy    time.Duration // until then, with the calls before
-	all     []*instance
-	calls   map[int]int // by second
-	away    int         // calls turned away though discovery was well
+	fault         discoveryFault
+	version       int           // of the endpoint list
+	busyUntil     time.Duration // when the calls already queued will have been served
+	instances     []*instance
+	callsBySecond map[int]int
+	rejected      int // calls rejected because the queue was full, without a fault of discovery
 }
 
-// instance is an instance that polls, with its open call.
+// instance is an instance that polls discovery, with its call in flight.
 type instance struct {
-	watcher
-	fleet *fleet
-	known int
-	at    time.Duration // when it knew that
-	call  int           // number of the call that is open
-	waits bool          // it is at discovery, which has nothing new
-	in    Call
+	pollScheduler
+	fleet        *fleet
+	knownVersion int
+	updatedAt    time.Duration // when knownVersion arrived
+	callNumber   int           // of the call in flight
+	pending      bool          // the call in flight waits at discovery for a change
+	call         Call
 }
 
-func (f *fleet) after(d time.Duration, do func()) { heap.Push(&f.queue, event{f.now + d, do}) }
+// schedule runs do after d.
+func (f *fleet) schedule(d time.Duration, do func()) { heap.Push(&f.queue, event{f.now + d, do}) }
 
+// run processes the events up to a time.
 func (f *fleet) run(until time.Duration) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
 		e := heap.Pop(&f.queue).(event)
@@ -75,37 +77,38 @@
 	f.now = until
 }
 
-// turn serves one more call, after those before.
-func (f *fleet) turn(do func()) {
-	f.busy = max(f.busy, f.now) + service
-	f.after(f.busy-f.now, do)
+// enqueue serves a call after those that are already queued.
+func (f *fleet) enqueue(do func()) {
+	f.busyUntil = max(f.busyUntil, f.now) + serviceTime
+	f.schedule(f.busyUntil-f.now, do)
 }
 
-func (i *instance) ask() {
+// poll starts a call.
+func (i *instance) poll() {
 	f := i.fleet
-	i.call++
-	n := i.call
-	i.in = i.Begin(f.now, false)
-	f.calls[int(f.now/time.Second)]++
-	f.after(i.in.FirstByteTimeout, func() { i.end(n, NoResponse) })
-	f.after(trip/2, func() {
+	i.callNumber++
+	n := i.callNumber
+	i.call = i.Begin(f.now, false)
+	f.callsBySecond[int(f.now/time.Second)]++
+	f.schedule(i.call.FirstByteTimeout, func() { i.finish(n, NoResponse) })
+	f.schedule(roundTrip/2, func() {
 		switch {
-		case f.trouble == down:
-			f.after(trip/2, func() { i.end(n, Failed) })
-		case f.trouble == silent:
-		case f.busy-f.now > queue:
-			f.away++
-			f.after(trip/2, func() { i.end(n, Failed) })
+		case f.fault == down:
+			f.schedule(roundTrip/2, func() { i.finish(n, Failed) })
+		case f.fault == unresponsive:
+		case f.busyUntil-f.now > maxQueueDelay:
+			f.rejected++
+			f.schedule(roundTrip/2, func() { i.finish(n, Failed) })
 		default:
-			f.turn(func() {
-				if i.known < f.version {
-					i.answer(n)
-				} else if i.call == n {
-					i.waits = true
-					f.after(i.in.Wait, func() { // its wait is over
-						if i.call == n && i.waits {
-							i.waits = false
-							f.turn(func() { i.answer(n) })
+			f.enqueue(func() {
+				if i.knownVersion < f.version {
+					i.respond(n)
+				} else if i.callNumber == n {
+					i.pending = true
+					f.schedule(i.call.Wait, func() { // the wait that the call asked for has passed
+						if i.callNumber == n && i.pending {
+							i.pending = false
+							f.enqueue(func() { i.respond(n) })
 						}
 					})
 				}
@@ -114,194 +117,197 @@
 	})
 }
 
-func (i *instance) answer(n int) {
+// respond sends the endpoint list as the response to call number n.
+func (i *instance) respond(n int) {
 	version := i.fleet.version
-	i.fleet.after(trip/2, func() {
-		if i.call == n && i.known < version {
-			i.known, i.at = version, i.fleet.now
+	i.fleet.schedule(roundTrip/2, func() {
+		if i.callNumber == n && i.knownVersion < version {
+			i.knownVersion, i.updatedAt = version, i.fleet.now
 		}
-		i.end(n, Complete)
+		i.finish(n, Complete)
 	})
 }
 
-func (i *instance) end(n int, how Outcome) {
-	if i.call != n {
-		return // it has been given up, or has ended
+// finish ends call number n and schedules the next call.
+func (i *instance) finish(n int, outcome Outcome) {
+	if i.callNumber != n {
+		return // the call has timed out or ended before
 	}
-	i.call++
-	i.waits = false
-	i.fleet.after(i.End(i.fleet.now, how), i.ask)
+	i.callNumber++
+	i.pending = false
+	i.fleet.schedule(i.End(i.fleet.now, outcome), i.poll)
 }
 
-// news makes a change: open watches are answered, in turn.
-func (f *fleet) news() {
+// publishChange increments the version and queues a response to each pending watch.
+func (f *fleet) publishChange() {
 	f.version++
-	for _, i := range f.all {
-		if n := i.call; i.waits {
-			i.waits = false
-			f.turn(func() { i.answer(n) })
+	for _, i := range f.instances {
+		if n := i.callNumber; i.pending {
+			i.pending = false
+			f.enqueue(func() { i.respond(n) })
 		}
 	}
 }
 
-// last returns how long after t the last instance knew the newest list; an hour if one does not.
-func (f *fleet) last(t time.Duration) (last time.Duration) {
-	for _, i := range f.all {
-		if i.known < f.version {
+// updateDelay returns how long after since the last instance received the current version. It returns an hour if an instance
+// has not received it.
+func (f *fleet) updateDelay(since time.Duration) (longest time.Duration) {
+	for _, i := range f.instances {
+		if i.knownVersion < f.version {
 			return time.Hour
 		}
-		last = max(last, i.at-t)
+		longest = max(longest, i.updatedAt-since)
 	}
-	return last
+	return longest
 }
 
-// peak returns the most calls in one second.
-func (f *fleet) peak(from, to int) (peak int) {
+// peakCallRate returns the largest number of calls in one second, of the seconds in [from, to).
+func (f *fleet) peakCallRate(from, to int) (peak int) {
 	for s := from; s < to; s++ {
-		peak = max(peak, f.calls[s])
+		peak = max(peak, f.callsBySecond[s])
 	}
 	return peak
 }
 
-// load is the result of a fleet's day: the most calls in a second and the last instance to know, for each fault.
-type load struct {
-	steady float64 // calls a second, in calm
-	peaks  [5]int  // begin, calm, all watches lost after news to all, down, silent
-	lasts  [3]time.Duration
-	away   int
+// loadResult is the result of a simulated run of a fleet.
+type loadResult struct {
+	steadyRate   float64          // calls per second without faults
+	peakRates    [5]int           // calls per second: at start, without faults, after all watches are lost, discovery down, discovery unresponsive
+	updateDelays [3]time.Duration // after all watches are lost, discovery down, discovery unresponsive
+	rejected     int
 }
 
-// day simulates a day of size instances, which all start, lose their watches and are rejected together.
-func day(size int, seed uint64, create func(draw func() float64) watcher) load {
+// simulateFleet runs size instances for 500 s. All of them start, lose their watches and are rejected at the same time.
+func simulateFleet(size int, seed uint64, create func(draw func() float64) pollScheduler) loadResult {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	f := &fleet{calls: map[int]int{}}
+	f := &fleet{callsBySecond: map[int]int{}}
 	for range size {
-		i := &instance{watcher: create(rng.Float64), fleet: f}
-		f.all = append(f.all, i)
-		f.after(time.Duration((0.5+rng.Float64())*float64(mustAsk/8)), i.ask) // as lbpolicy does
+		i := &instance{pollScheduler: create(rng.Float64), fleet: f}
+		f.instances = append(f.instances, i)
+		f.schedule(time.Duration((0.5+rng.Float64())*float64(mustAskIn/8)), i.poll) // the same delay as in lbpolicy
 	}
-	var l load
+	var result loadResult
 	f.run(200 * time.Second)
 	for s := 100; s < 200; s++ {
-		l.steady += float64(f.calls[s]) / 100
+		result.steadyRate += float64(f.callsBySecond[s]) / 100
 	}
-	l.peaks[0], l.peaks[1] = f.peak(0, 10), f.peak(20, 200)
-	f.news()
+	result.peakRates[0], result.peakRates[1] = f.peakCallRate(0, 10), f.peakCallRate(20, 200)
+	f.publishChange()
 	f.run(202 * time.Second)
-	for _, i := range f.all {
-		i.waits = false // all watches are dead from here on
+	for _, i := range f.instances {
+		i.pending = false // all pending watches are lost without a response
 	}
-	f.news()
+	f.publishChange()
 	f.run(300 * time.Second)
-	l.lasts[0], l.peaks[2] = f.last(202*time.Second), f.peak(200, 300)
-	for n, t := range []trouble{down, silent} {
+	result.updateDelays[0], result.peakRates[2] = f.updateDelay(202*time.Second), f.peakCallRate(200, 300)
+	for n, fault := range []discoveryFault{down, unresponsive} {
 		begin := time.Duration(300+100*n) * time.Second
-		f.trouble = t
-		for _, i := range f.all {
-			i.waits = false
-			if t == down {
-				i.end(i.call, Failed)
+		f.fault = fault
+		for _, i := range f.instances {
+			i.pending = false
+			if fault == down {
+				i.finish(i.callNumber, Failed)
 			}
 		}
 		f.run(begin + 13*time.Second)
-		f.trouble = well
-		f.news()
+		f.fault = healthy
+		f.publishChange()
 		f.run(begin + 100*time.Second)
-		l.lasts[1+n], l.peaks[3+n] = f.last(begin+13*time.Second), f.peak(300+100*n, 400+100*n)
+		result.updateDelays[1+n], result.peakRates[3+n] = f.updateDelay(begin+13*time.Second), f.peakCallRate(300+100*n, 400+100*n)
 	}
-	l.away = f.away
-	return l
+	result.rejected = f.rejected
+	return result
 }
 
-// variant is a Poller that waits differently.
+// variant is a Poller with other timeouts and backoff.
 type variant struct {
 	*Poller
-	name  string
-	fails int
+	name         string
+	failureCount int
 }
 
 const (
-	asItWas    = "given up after 4 to 12 s, pauses from decide"
-	ownEnd     = "waits of 4.5 s that discovery ends"
-	halfSpread = "given up after 5 s, the first after news from 2.5 s on"
-	asItIs     = "given up after 5 s, the first after news from 0.5 s on"
+	formerTimeouts  = "watch timeout 4 to 12 s, backoff of the former policy"
+	serverEndsWait  = "wait of 4.5 s that discovery ends"
+	narrowSpread    = "watch timeout 5 s, first after a change 2.5 to 5 s"
+	currentTimeouts = "watch timeout 5 s, first after a change 0.5 to 5 s"
 )
 
-func (v *variant) Begin(now time.Duration, whole bool) Call {
-	first := v.synchronized
-	c := v.Poller.Begin(now, whole)
-	if c.Wait == MaxWait {
+func (v *variant) Begin(now time.Duration, snapshot bool) Call {
+	wasSynchronized := v.synchronized
+	call := v.Poller.Begin(now, snapshot)
+	if call.Wait == MaxWait {
 		switch v.name {
-		case halfSpread:
-			if first {
-				c.FirstByteTimeout = pollInterval/2 + (c.FirstByteTimeout-pollInterval/10)*5/9
+		case narrowSpread:
+			if wasSynchronized {
+				call.FirstByteTimeout = pollInterval/2 + (call.FirstByteTimeout-pollInterval/10)*5/9
 			}
-		case asItWas:
-			c.FirstByteTimeout = time.Duration((0.5 + v.random()) * float64(8*time.Second))
-		case ownEnd:
-			c.Wait = c.FirstByteTimeout - time.Second/2
+		case formerTimeouts:
+			call.FirstByteTimeout = time.Duration((0.5 + v.random()) * float64(8*time.Second))
+		case serverEndsWait:
+			call.Wait = call.FirstByteTimeout - time.Second/2
 		}
 	}
-	return c
+	return call
 }
 
-func (v *variant) End(now time.Duration, how Outcome) time.Duration {
-	calm := v.name == ownEnd && how == Complete && now-v.startedAt >= pollInterval-time.Second
-	after := v.Poller.End(now, how)
-	if calm {
+func (v *variant) End(now time.Duration, outcome Outcome) time.Duration {
+	isUnchanged := v.name == serverEndsWait && outcome == Complete && now-v.startedAt >= pollInterval-time.Second
+	delay := v.Poller.End(now, outcome)
+	if isUnchanged {
 		v.synchronized = false
 	}
-	if v.name == asItWas {
-		if how == Failed {
-			v.fails = min(v.fails+1, 5)
-			return time.Duration((0.5 + v.random()) * float64(min(time.Second/2<<v.fails, mustAsk/2)))
+	if v.name == formerTimeouts {
+		if outcome == Failed {
+			v.failureCount = min(v.failureCount+1, 5)
+			return time.Duration((0.5 + v.random()) * float64(min(time.Second/2<<v.failureCount, mustAskIn/2)))
 		}
-		if how == Complete {
-			v.fails = 0
+		if outcome == Complete {
+			v.failureCount = 0
 		}
 	}
-	return after
+	return delay
 }
 
-// TestLoad has all instances of a fleet start, lose their watches and be rejected together. No more calls are rejected than with
-// longer waits, all know what changed within the bound, and without faults their polls do not stay bunched. Other ways to
-// wait are logged for comparison.
-func TestLoad(t *testing.T) {
+// TestSimultaneousPollsDoNotOverloadDiscovery has all instances of a fleet start, lose their watches and be rejected at the same
+// time. No more calls may be rejected than with the former, longer timeouts. All instances have to receive a change within
+// NotifiedAfter. Without faults the polls must not stay synchronized. The results of other timeouts are logged for comparison.
+func TestSimultaneousPollsDoNotOverloadDiscovery(t *testing.T) {
 	t.Parallel()
-	before := map[int]int{} // calls turned away with the waits as they were, which are played first
-	for _, name := range []string{asItWas, ownEnd, halfSpread, asItIs} {
+	formerlyRejected := map[int]int{} // calls rejected with formerTimeouts, by fleet size; the loop simulates these first
+	for _, name := range []string{formerTimeouts, serverEndsWait, narrowSpread, currentTimeouts} {
 		for _, size := range []int{1, 12, 80, 300} {
-			var most load
+			var worst loadResult
 			for seed := range uint64(5) {
-				l := day(size, seed, func(draw func() float64) watcher { return &variant{Poller: New(draw, mustAsk), name: name} })
-				most.steady = max(most.steady, l.steady)
-				for n := range l.peaks {
-					most.peaks[n] = max(most.peaks[n], l.peaks[n])
+				result := simulateFleet(size, seed, func(draw func() float64) pollScheduler { return &variant{Poller: New(draw, mustAskIn), name: name} })
+				worst.steadyRate = max(worst.steadyRate, result.steadyRate)
+				for n := range result.peakRates {
+					worst.peakRates[n] = max(worst.peakRates[n], result.peakRates[n])
 				}
-				for n := range l.lasts {
-					most.lasts[n] = max(most.lasts[n], l.lasts[n])
+				for n := range result.updateDelays {
+					worst.updateDelays[n] = max(worst.updateDelays[n], result.updateDelays[n])
 				}
-				most.away = max(most.away, l.away)
+				worst.rejected = max(worst.rejected, result.rejected)
 			}
-			t.Logf("%-55s %3d: calm %5.1f a second, peaks: begin %3d, calm %3d, lost %3d, down %3d, silent %3d; known after %.2f, %.2f, %.2f s; turned away %d",
-				name, size, most.steady, most.peaks[0], most.peaks[1], most.peaks[2], most.peaks[3], most.peaks[4],
-				most.lasts[0].Seconds(), most.lasts[1].Seconds(), most.lasts[2].Seconds(), most.away)
-			if name == asItWas {
-				before[size] = most.away
+			t.Logf("%-55s %3d instances: %5.1f calls/s without faults, peaks: start %3d, no fault %3d, watches lost %3d, down %3d, unresponsive %3d; change known after %.2f, %.2f, %.2f s; rejected %d",
+				name, size, worst.steadyRate, worst.peakRates[0], worst.peakRates[1], worst.peakRates[2], worst.peakRates[3], worst.peakRates[4],
+				worst.updateDelays[0].Seconds(), worst.updateDelays[1].Seconds(), worst.updateDelays[2].Seconds(), worst.rejected)
+			if name == formerTimeouts {
+				formerlyRejected[size] = worst.rejected
 			}
-			if name != asItIs {
+			if name != currentTimeouts {
 				continue
 			}
-			for _, last := range most.lasts {
-				if last > NotifiedAfter+slack {
-					t.Errorf("%d: known after %v", size, last)
+			for _, delay := range worst.updateDelays {
+				if delay > NotifiedAfter+slack {
+					t.Errorf("%d instances: change known after %v", size, delay)
 				}
 			}
-			if most.away > before[size] || most.steady > 0.23*float64(size)+0.02 { // one call more or less of one instance in that time
-				t.Errorf("%d: %d turned away, %.2f calls a second in calm", size, most.away, most.steady)
+			if worst.rejected > formerlyRejected[size] || worst.steadyRate > 0.23*float64(size)+0.02 { // 0.02: one call more of one instance within the 100 s measured
+				t.Errorf("%d instances: %d calls rejected, %.2f calls/s without faults", size, worst.rejected, worst.steadyRate)
 			}
-			if size >= 80 && most.peaks[1] > size*6/10 {
-				t.Errorf("%d: up to %d calls a second in calm: they stay bunched as they began", size, most.peaks[1])
+			if size >= 80 && worst.peakRates[1] > size*6/10 {
+				t.Errorf("%d instances: up to %d calls/s without faults: the polls stay synchronized as at start", size, worst.peakRates[1])
 			}
 		}
 	}
--- a/internal/platform/discoverypoll/poller.go
+++ b/internal/platform/discoverypoll/poller.go
@@ -1,25 +1,26 @@
 // Package discoverypoll decides when the discovery service is polled, how long a response is awaited, and when to poll
-// again, if the service answers only when it is polled. It has no I/O and no clock: its host reports how calls end.
+// again, for a service that reports changes only in responses to polls. It has no I/O and no clock. Its caller, the host,
+// passes the time and reports how calls end.
 //
-// It guards against changes that count as notified while the host does not know them. The platform's pages (PROTOCOL,
+// It ensures that the host knows a change by the time at which the change counts as notified. The platform's pages (PROTOCOL,
 // "Discovery" and "Figures"; STANDING) say when a change counts as notified:
 //
 //   - when it is written in the response to a call;
 //   - between a response and the next call, for NotificationGrace after the response, whether or not a call follows;
-//   - NotifiedAfter it occurred, if a response was begun and did not arrive completely;
+//   - NotifiedAfter after it occurred, if a response was begun and did not arrive completely;
 //   - UnansweredGrace after the wait of a call that got no response at all;
-//   - in any case NotifiedAfter discovery had it and could be reached;
-//   - a multiple of the settings' must_ask_in if nobody polls.
+//   - in any case NotifiedAfter after discovery had it and was reachable;
+//   - a multiple of the settings' must_ask_in after it occurred, if the instance does not poll.
 //
-// An idle watch cannot be told from a dead one. So a call begins at most pollInterval after the one before, or as soon as
-// that has ended: what changed meanwhile, or while discovery could not be reached, is in the next response. If many
-// instances share discovery, a watch without changes is left for longer, and the bound does not hold for one that dies:
-// see SharedBy.
+// An idle watch cannot be distinguished from a dead one. So a call begins at most pollInterval after the previous call, or as
+// soon as that call has ended. Its response contains the changes that occurred meanwhile or while discovery was not
+// reachable. If many instances share discovery, a watch without changes is kept for longer, and the bound does not hold for
+// a watch that dies: see SharedBy.
 package discoverypoll
 
 import "time"
 
-// When changes count as notified, by the platform's pages.
+// Bounds of the platform's pages on when changes count as notified, and on calls.
 const (
 	NotificationGrace = 200 * time.Millisecond
 	NotifiedAfter     = 6 * time.Second
@@ -28,8 +29,8 @@
 )
 
 const (
-	// pollInterval leaves a second of NotifiedAfter to the call that follows, for its turn at a busy discovery, or for the rest
-	// of a response that began at the last moment. More would cost calls, also without faults.
+	// pollInterval leaves one second of NotifiedAfter to the next call, for queueing at a busy discovery service, or for the
+	// rest of a response that began just before the timeout. A larger margin would cause more calls, even without faults.
 	pollInterval    = NotifiedAfter - time.Second
 	snapshotTimeout = 3 * time.Second       // for a call without a wait
 	bodyTimeout     = 1 * time.Second       // for a response that has begun
@@ -43,39 +44,39 @@
 	backoff             = 2 * time.Second // after a first failure, before jitter; doubled with each further one
 	maxBackoffDoublings = 4
 
-	// If many instances share discovery, their polls have to fit its capacity: one that is out of capacity rejects all calls,
-	// and nobody learns anything. So beyond ten instances of a tier each adds waitPerInstance to the wait, up to
-	// maxSharedWait. If a watch dies, changes are known later by as much as the wait is longer than pollInterval.
+	// If many instances share discovery, their polls have to fit its capacity. An overloaded discovery service rejects all
+	// calls, and no instance receives changes. So each instance of a tier beyond ten adds waitPerInstance to the wait, up to
+	// maxSharedWait. If a watch dies, changes are known later by the difference between the wait and pollInterval.
 	waitPerInstance = 500 * time.Millisecond
 	maxSharedWait   = 8 * time.Second
 )
 
 // Call is a call to make.
 type Call struct {
-	Wait             time.Duration // to send to discovery; zero if the whole list is requested
-	FirstByteTimeout time.Duration // after it the call ends as NoResponse
-	BodyTimeout      time.Duration // from the first byte; after it the call ends as Incomplete
+	Wait             time.Duration // sent to discovery as the time to wait for a change; zero if the whole list is requested
+	FirstByteTimeout time.Duration // from the start of the call; the call then ends as NoResponse
+	BodyTimeout      time.Duration // from the first byte; the call then ends as Incomplete
 }
 
 // Outcome is how a call ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a call.
 const (
 	Complete   Outcome = iota // a complete response that could be parsed
-	NoResponse                // no byte in time
+	NoResponse                // no byte within FirstByteTimeout
 	Incomplete                // a response that began and is incomplete, or could not be parsed
-	Failed                    // rejected, or no connection
+	Failed                    // the call was rejected, or no connection was established
 )
 
 // Poller decides on the calls of one instance. New returns one. It is not safe for concurrent use.
 type Poller struct {
-	Wait time.Duration // for a response's first byte; New sets it
+	Wait time.Duration // mean timeout for the first byte of a response to a watch; set by New and SharedBy
 
 	random           func() float64 // in [0, 1)
 	maxBackoff       time.Duration  // before jitter
-	shared           bool           // by so many instances that Wait is a mean, and each wait is drawn around it
-	synchronized     bool           // the last call ended with something that may have ended all instances' calls
+	shared           bool           // so many instances share discovery that each timeout is drawn around Wait
+	synchronized     bool           // the last call ended by an event that may have ended the calls of all instances
 	failures         int            // since the last complete response
 	immediateRetries int            // in a row, after incomplete responses and unanswered confirmations
 	notifiedAt       time.Duration  // when changes since the last response begin to count as notified; zero: no call failed since
@@ -83,8 +84,8 @@
 	startedAt        time.Duration
 }
 
-// New returns a Poller. Random returns numbers in [0, 1), uniformly. MustAskIn is the settings' bound on the time between
-// polls; zero: there is none.
+// New returns a Poller. The function random returns uniformly distributed numbers in [0, 1). The argument mustAskIn is the
+// bound of the settings on the time between polls, or zero if there is none.
 func New(random func() float64, mustAskIn time.Duration) *Poller {
 	p := &Poller{Wait: pollInterval, random: random, maxBackoff: pollInterval, synchronized: true}
 	if mustAskIn > 0 {
@@ -102,9 +103,9 @@
 
 // Begin returns the next call; snapshot requests the whole list.
 //
-// Discovery is sent a far longer wait than the response is awaited, as a change of a call without any response counts as
-// notified by that wait as well: a watch that dies, and the one after it, are both given up in time. If changes could
-// count as notified during the next watch, a short call confirms the list first.
+// The wait sent to discovery is much longer than FirstByteTimeout, because a change during a call without a response counts
+// as notified only UnansweredGrace after that wait. So a watch that dies and the next one both time out before then. If
+// changes could count as notified during the next watch, a short call confirms the list first.
 func (p *Poller) Begin(now time.Duration, snapshot bool) Call {
 	timeout := p.firstByteTimeout()
 	p.synchronized = false
@@ -120,8 +121,9 @@
 	return p.call
 }
 
-// firstByteTimeout draws how long a watch's first byte is awaited. After an event that may have ended all instances' calls
-// it spreads them over nearly the whole wait: over half of it, those that began within a second would stay bunched.
+// firstByteTimeout draws the timeout for the first byte of a watch's response. After an event that may have ended the calls of
+// all instances, it spreads the timeouts from a tenth of Wait to all of it. If they were spread over half of Wait, instances
+// whose calls began within the same second would stay synchronized.
 func (p *Poller) firstByteTimeout() time.Duration {
 	switch {
 	case p.shared:
@@ -137,7 +139,7 @@
 	if outcome == NoResponse && p.call.Wait > 0 {
 		p.limitNotifiedAt(p.startedAt + p.call.Wait + UnansweredGrace)
 		if p.call.Wait == MaxWait {
-			return 0 // no change or a dead connection: poll again, on another one
+			return 0 // no change or a dead connection: poll again on another connection
 		}
 		if p.retryImmediately() {
 			return 0
@@ -149,8 +151,9 @@
 		return minInterval
 	}
 	if outcome == Incomplete {
-		// Its changes count as notified soon, known or not. If the body timed out, its first byte is that old. Discovery had
-		// capacity, so there is no reason to back off yet.
+		// The changes in the response count as notified NotifiedAfter after they occurred, even if the host does not know
+		// them. If the body timed out, the first byte arrived bodyTimeout ago. Discovery had capacity, so there is no
+		// reason to back off yet.
 		p.limitNotifiedAt(now - bodyTimeout + NotifiedAfter)
 		if p.retryImmediately() {
 			return minInterval
@@ -165,8 +168,8 @@
 	return p.immediateRetries <= maxImmediateRetries
 }
 
-// backOff returns the time until the next call after a failure: longer each time and with jitter, but by pollInterval
-// after the call's begin, as discovery may have come back right after it.
+// backOff returns the time until the next call after a failure. The time grows with each failure and has jitter. The next
+// call begins at most pollInterval after the failed call began, as discovery may have recovered right after that.
 func (p *Poller) backOff(now time.Duration) time.Duration {
 	wait := min(backoff<<p.failures, p.maxBackoff, p.startedAt+pollInterval-now)
 	if p.notifiedAt > now {
@@ -176,12 +179,12 @@
 	return max(p.jitter(wait), minInterval)
 }
 
-// jitter returns from half of d to all of it.
+// jitter returns a random duration between d/2 and d.
 func (p *Poller) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(p.random()*float64(d/2))
 }
 
-// limitNotifiedAt records that changes since the last response begin to count as notified at a time, at the latest.
+// limitNotifiedAt lowers notifiedAt to a time at which changes since the last response may begin to count as notified.
 func (p *Poller) limitNotifiedAt(at time.Duration) {
 	if p.notifiedAt == 0 || at < p.notifiedAt {
 		p.notifiedAt = at
--- a/internal/platform/discoverypoll/poller_test.go
+++ b/internal/platform/discoverypoll/poller_test.go
@@ -8,139 +8,139 @@
 )
 
 const (
-	dial    = 1 * time.Second        // for a connection to come up, as the host has it
-	trip    = 40 * time.Millisecond  // to discovery and back
-	slack   = 300 * time.Millisecond // rule 3's 250 ms, and 50 ms for sockets
-	mustAsk = 10 * time.Second       // four times that after a failed call; the term's 6 s come first
+	dialTimeout = 1 * time.Second        // for establishing a connection; the value of the host
+	roundTrip   = 40 * time.Millisecond  // to discovery and back
+	slack       = 300 * time.Millisecond // the 250 ms that rule 3 allows, and 50 ms for sockets
+	mustAskIn   = 10 * time.Second       // after a failed call changes count as notified after four times this; NotifiedAfter is shorter
 )
 
-// fate is what the network and discovery do with a call.
-type fate int
+// callResult is what the network and discovery do with a call.
+type callResult int
 
 const (
-	served fate = iota // answered as soon as there is news
-	short              // the answer begins and then stands still
-	broke              // the answer begins and the connection ends
-	dead               // nothing comes
-	away               // refused, or turned away at once
-	hung               // its connection does not come up
-	reset              // at the last moment
-	fates
+	served       callResult = iota // the response arrives as soon as there is a change
+	bodyStalled                    // the response begins and then stalls
+	bodyCutOff                     // the response begins and then the connection is closed
+	unanswered                     // no byte of a response arrives
+	refused                        // the connection is refused, or the call is rejected immediately
+	dialTimedOut                   // the connection is not established
+	lateReset                      // the connection is reset just before the first-byte timeout
+	callResultCount
 )
 
-// script is the fates of calls, the changes, and the random numbers of the Poller.
+// script holds the results of the calls and the changes of a simulated run.
 type script struct {
-	fates []fate          // of the calls in turn; the others are served
-	news  []time.Duration // after the event before: an answer, a begin of a call
-	at    []int           // the call in (or after) which each comes up: 2n in call n, 2n+1 in the pause after it
-	whole bool            // until a call is answered the whole list is asked for
-	alone bool            // of what counts as told, only what does "whatever else is allowed"
+	results      []callResult    // of the calls in order; all later calls are served
+	changeDelays []time.Duration // from the start of the phase (the start of a call or its end) to each change
+	changePhases []int           // the phase in which each change occurs: 2n during call n, 2n+1 in the pause after call n
+	snapshot     bool            // the whole list is requested until a call is served
+	boundOnly    bool            // changes count as notified only by NotifiedAfter, which holds in any case
 }
 
-// play runs a script and returns an error for the first change that counted as notified, by the platform's pages, longer than
-// slack before the host knew it. It models discovery; the Poller is the real one, or one with a fault.
-func play(s script, w watcher) error {
-	// Discovery could be reached when a call that began then would have been answered: what came up in a call is known to a
-	// call from then on, and each call in trouble shows that discovery could not be reached as that one began.
-	type item struct{ up, told, reached time.Duration }
-	var open []item // news that the host does not know
+// runScript runs a script and returns an error for the first change that counted as notified, by the platform's pages, longer
+// than slack before the host knew it. Discovery is a model. The poller is the real one, or one with a fault.
+func runScript(s script, poller pollScheduler) error {
+	// Discovery is reachable at a time if a call that begins then would be served. A call from then on returns the changes that
+	// occurred before. Each call that is not served shows that discovery was not reachable when the call began.
+	type pendingChange struct{ occurredAt, notifiedAt, reachableAt time.Duration }
+	var pending []pendingChange // changes that the host does not know
 	now := time.Duration(0)
 	next := 0
-	up := func(phase int, from, to time.Duration) (times []time.Duration) {
-		for next < len(s.at) && s.at[next] <= phase {
-			if t := from + s.news[next]; s.at[next] == phase && t < to {
+	changesIn := func(phase int, from, to time.Duration) (times []time.Duration) {
+		for next < len(s.changePhases) && s.changePhases[next] <= phase {
+			if t := from + s.changeDelays[next]; s.changePhases[next] == phase && t < to {
 				times = append(times, t)
 			}
 			next++
 		}
 		return times
 	}
-	tell := func(i int, by time.Duration) {
-		if !s.alone {
-			open[i].told = min(open[i].told, by)
+	limitNotifiedAt := func(i int, at time.Duration) {
+		if !s.boundOnly {
+			pending[i].notifiedAt = min(pending[i].notifiedAt, at)
 		}
 	}
-	whole := s.whole
-	for n := range len(s.fates) + 6 {
+	snapshot := s.snapshot
+	for n := range len(s.results) + 6 {
 		f := served
-		if n < len(s.fates) {
-			f = s.fates[n]
+		if n < len(s.results) {
+			f = s.results[n]
 		}
-		c := w.Begin(now, whole)
-		over := now + c.FirstByteTimeout // given up, or past the wait
-		for _, it := range open {
-			if now+trip > it.reached+NotifiedAfter+slack {
-				return fmt.Errorf("call %d, at %v: news of %v, that it could have been told from %v on", n, now, it.up, it.reached)
+		call := poller.Begin(now, snapshot)
+		timeoutAt := now + call.FirstByteTimeout
+		for _, change := range pending {
+			if now+roundTrip > change.reachableAt+NotifiedAfter+slack {
+				return fmt.Errorf("call %d at %v: change of %v is not known, discovery has been reachable since %v", n, now, change.occurredAt, change.reachableAt)
 			}
 		}
 		if f != served {
-			for i := range open {
-				open[i].reached = now
+			for i := range pending {
+				pending[i].reachableAt = now
 			}
 		}
-		for _, t := range up(2*n, now, now+min(c.FirstByteTimeout, c.Wait)) {
-			open = append(open, item{t, never, t})
+		for _, t := range changesIn(2*n, now, now+min(call.FirstByteTimeout, call.Wait)) {
+			pending = append(pending, pendingChange{t, never, t})
 		}
-		begins := now + c.Wait // the time at which discovery answers
-		for _, it := range open {
-			begins = min(begins, max(it.up, now))
+		responseAt := now + call.Wait // the time at which the first byte of the response arrives
+		for _, change := range pending {
+			responseAt = min(responseAt, max(change.occurredAt, now))
 		}
-		begins += trip
+		responseAt += roundTrip
 		var end time.Duration
-		var how Outcome
+		var outcome Outcome
 		switch {
-		case f == away:
-			end, how = now+trip, Failed
-		case f == hung:
-			end, how = now+min(dial, c.FirstByteTimeout), Failed
-		case f == reset:
-			end, how = over, Failed
-		case f == dead || begins > over:
-			end, how = over, NoResponse
-			for i := range open { // news of a call without an answer
-				tell(i, now+c.Wait+UnansweredGrace)
+		case f == refused:
+			end, outcome = now+roundTrip, Failed
+		case f == dialTimedOut:
+			end, outcome = now+min(dialTimeout, call.FirstByteTimeout), Failed
+		case f == lateReset:
+			end, outcome = timeoutAt, Failed
+		case f == unanswered || responseAt > timeoutAt:
+			end, outcome = timeoutAt, NoResponse
+			for i := range pending { // changes during a call without a response
+				limitNotifiedAt(i, now+call.Wait+UnansweredGrace)
 			}
 		case f == served:
-			end, how = begins, Complete
-			for _, it := range open {
-				if written := begins - trip/2; it.up <= written && end > min(it.told, written)+slack {
-					return fmt.Errorf("call %d: news of %v told at %v, known at %v", n, it.up, it.told, end)
+			end, outcome = responseAt, Complete
+			for _, change := range pending {
+				if written := responseAt - roundTrip/2; change.occurredAt <= written && end > min(change.notifiedAt, written)+slack {
+					return fmt.Errorf("call %d: change of %v counted as notified at %v, known at %v", n, change.occurredAt, change.notifiedAt, end)
 				}
 			}
-			open, whole = open[:0], false
-		case f == broke:
-			end, how = begins, Incomplete
+			pending, snapshot = pending[:0], false
+		case f == bodyCutOff:
+			end, outcome = responseAt, Incomplete
 		default:
-			end, how = begins+c.BodyTimeout, Incomplete
+			end, outcome = responseAt+call.BodyTimeout, Incomplete
 		}
-		if how == Incomplete {
-			for i, it := range open {
-				tell(i, max(it.up, now)+NotifiedAfter) // what a call before could not tell this one had to
+		if outcome == Incomplete {
+			for i, change := range pending {
+				limitNotifiedAt(i, max(change.occurredAt, now)+NotifiedAfter) // a change that an earlier call did not return was due in this response
 			}
 		}
-		if how == Failed {
-			for i, it := range open {
-				tell(i, max(it.up, now)+4*mustAsk)
+		if outcome == Failed {
+			for i, change := range pending {
+				limitNotifiedAt(i, max(change.occurredAt, now)+4*mustAskIn)
 			}
 		}
-		for _, it := range open {
-			if end > it.told+slack {
-				return fmt.Errorf("call %d: news of %v told at %v, not known at %v", n, it.up, it.told, end)
+		for _, change := range pending {
+			if end > change.notifiedAt+slack {
+				return fmt.Errorf("call %d: change of %v counted as notified at %v, not known at %v", n, change.occurredAt, change.notifiedAt, end)
 			}
 		}
-		pause := w.End(end, how)
-		for _, t := range up(2*n+1, end, end+pause) {
-			told := never
-			if !s.alone && how == Complete && t-end <= NotificationGrace && pause+trip/2 > NotificationGrace {
-				told = t // the watch has lapsed; where it goes on, its next call brings them as if they came up with it
+		pause := poller.End(end, outcome)
+		for _, t := range changesIn(2*n+1, end, end+pause) {
+			notifiedAt := never
+			if !s.boundOnly && outcome == Complete && t-end <= NotificationGrace && pause+roundTrip/2 > NotificationGrace {
+				notifiedAt = t // the next call comes too late to continue the watch; otherwise it returns the change like one that occurs during it
 			}
-			open = append(open, item{t, told, t})
+			pending = append(pending, pendingChange{t, notifiedAt, t})
 		}
 		now = end + pause
 	}
-	for _, it := range open {
-		if now > it.told+slack {
-			return fmt.Errorf("news of %v told at %v and never known", it.up, it.told)
+	for _, change := range pending {
+		if now > change.notifiedAt+slack {
+			return fmt.Errorf("change of %v counted as notified at %v, never known", change.occurredAt, change.notifiedAt)
 		}
 	}
 	return nil
@@ -148,34 +148,34 @@
 
 const never = time.Duration(1 << 62)
 
-// watcher is a Poller, or one with a fault.
-type watcher interface {
-	Begin(now time.Duration, whole bool) Call
-	End(now time.Duration, how Outcome) time.Duration
+// pollScheduler is a Poller or a variant of one.
+type pollScheduler interface {
+	Begin(now time.Duration, snapshot bool) Call
+	End(now time.Duration, outcome Outcome) time.Duration
 }
 
-// walk plays all scripts of a number of calls and two changes, with faults in at most two calls in a row: beyond that no client
-// with a bounded number of polls can know what it was not sent. What counts by NotifiedAfter alone is played with any number
-// of faults in a row and one change. It returns the error of the first script that fails, and the number of scripts.
-func walk(calls int, alone, whole bool, create func(draw float64) watcher) (played int, err error) {
+// runAllScripts runs all scripts of a number of calls and two changes, with faults in at most two calls in a row. After more
+// faults no client with a bounded number of polls can know what it was not sent. With boundOnly, scripts have one change and
+// any number of faults in a row. It returns the number of scripts and the error of the first script that fails.
+func runAllScripts(calls int, boundOnly, snapshot bool, create func(draw float64) pollScheduler) (scripts int, err error) {
 	offsets := []time.Duration{0, 10 * time.Millisecond, 120 * time.Millisecond, 190 * time.Millisecond, 2 * time.Second, 7 * time.Second}
-	if alone {
+	if boundOnly {
 		offsets = []time.Duration{0, 120 * time.Millisecond, 2 * time.Second, 4 * time.Second}
 	}
-	script := script{alone: alone, whole: whole}
-	var fill func(row int) bool
-	fill = func(row int) bool {
-		if len(script.fates) < calls {
-			for f := range fates {
-				trouble := 0
+	script := script{boundOnly: boundOnly, snapshot: snapshot}
+	var fill func(faultsInRow int) bool
+	fill = func(faultsInRow int) bool {
+		if len(script.results) < calls {
+			for f := range callResultCount {
+				nextFaultsInRow := 0
 				if f != served {
-					if trouble = row + 1; trouble > 2 && !alone {
+					if nextFaultsInRow = faultsInRow + 1; nextFaultsInRow > 2 && !boundOnly {
 						continue
 					}
 				}
-				script.fates = append(script.fates, f)
-				ok := fill(trouble)
-				script.fates = script.fates[:len(script.fates)-1]
+				script.results = append(script.results, f)
+				ok := fill(nextFaultsInRow)
+				script.results = script.results[:len(script.results)-1]
 				if !ok {
 					return false
 				}
@@ -186,13 +186,13 @@
 			for second := first; second < 2*calls; second++ {
 				for _, a := range offsets {
 					for _, b := range offsets {
-						if alone && (second > first || b > 0) {
+						if boundOnly && (second > first || b > 0) {
 							continue
 						}
 						for _, draw := range []float64{0, 0.5, 0.999} {
-							script.at, script.news = []int{first, second}, []time.Duration{a, b}
-							played++
-							if err = play(script, create(draw)); err != nil {
+							script.changePhases, script.changeDelays = []int{first, second}, []time.Duration{a, b}
+							scripts++
+							if err = runScript(script, create(draw)); err != nil {
 								err = fmt.Errorf("%+v: %w", script, err)
 								return false
 							}
@@ -204,173 +204,175 @@
 		return true
 	}
 	fill(0)
-	return played, err
+	return scripts, err
 }
 
-// TestNoGap checks that no change counts as notified and is not known, whatever becomes of calls and whenever it occurs.
-func TestNoGap(t *testing.T) {
+// TestChangesAreKnownWhenTheyCountAsNotified checks that the host knows each change by the time at which the change counts as
+// notified, for all results of the calls and all times of the changes.
+func TestChangesAreKnownWhenTheyCountAsNotified(t *testing.T) {
 	t.Parallel()
-	played, err := walk(3, false, false, func(draw float64) watcher { return New(func() float64 { return draw }, mustAsk) })
-	t.Logf("%d scripts", played)
-	if err != nil || played < 100_000 {
+	scripts, err := runAllScripts(3, false, false, func(draw float64) pollScheduler { return New(func() float64 { return draw }, mustAskIn) })
+	t.Logf("%d scripts", scripts)
+	if err != nil || scripts < 100_000 {
 		t.Error(err)
 	}
 }
 
-// TestNotifiedAfter checks that changes are known 6 s after discovery had them and could be reached, whatever becomes of any
-// number of calls, also if the whole list is requested, and whatever must_ask_in is.
-func TestNotifiedAfter(t *testing.T) {
+// TestChangesAreKnownWithinNotifiedAfter checks that a change is known 6 s after discovery had it and was reachable. This holds
+// after any number of failed calls, also if the whole list is requested, and for each value of must_ask_in.
+func TestChangesAreKnownWithinNotifiedAfter(t *testing.T) {
 	t.Parallel()
-	for _, in := range []time.Duration{0, time.Second, mustAsk, time.Minute} {
-		for _, whole := range []bool{false, true} {
-			played, err := walk(4, true, whole, func(draw float64) watcher { return New(func() float64 { return draw }, in) })
-			t.Logf("must_ask_in %v, whole %t: %d scripts", in, whole, played)
-			if err != nil || played < 100_000 {
+	for _, mustAsk := range []time.Duration{0, time.Second, mustAskIn, time.Minute} {
+		for _, snapshot := range []bool{false, true} {
+			scripts, err := runAllScripts(4, true, snapshot, func(draw float64) pollScheduler { return New(func() float64 { return draw }, mustAsk) })
+			t.Logf("must_ask_in %v, snapshot %t: %d scripts", mustAsk, snapshot, scripts)
+			if err != nil || scripts < 100_000 {
 				t.Error(err)
 			}
 		}
 	}
 }
 
-// wrong is a Poller with one fault.
-type wrong struct {
+// faultyPoller is a Poller with one fault.
+type faultyPoller struct {
 	*Poller
-	fault string
-	row   int
+	fault         string
+	failuresInRow int
 }
 
 const (
-	standsStill = "an answer that stands still is waited for as long as a watch"
-	toldLittle  = "discovery is told hardly more than is waited for"
-	lapses      = "the watch lapses after an answer"
-	waitsLong   = "a watch is given up after half to one and a half of 8 s"
-	pausesLong  = "the pause after failures doubles from 1 to 5 s, and is spread by half of it"
-	fromEnd     = "the pause after failures is reckoned from the end of the call"
+	longBodyTimeout    = "the body timeout is as long as the timeout of a watch"
+	shortRequestedWait = "the wait sent to discovery is only 1 s longer than the first-byte timeout"
+	latePoll           = "the poll after a response comes later than NotificationGrace"
+	longWatchTimeout   = "the watch timeout is 4 to 12 s"
+	longBackoff        = "the backoff doubles from 1 to 5 s, with a jitter of half of it"
+	backoffFromEnd     = "the backoff is counted from the end of the call"
 )
 
-func (w *wrong) Begin(now time.Duration, whole bool) Call {
-	c := w.Poller.Begin(now, whole)
-	switch w.fault {
-	case standsStill:
-		c.BodyTimeout = c.FirstByteTimeout
-	case toldLittle:
-		c.Wait = c.FirstByteTimeout + time.Second
-	case waitsLong:
-		if c.Wait == MaxWait {
-			c.FirstByteTimeout = 4*time.Second + time.Duration(w.random()*float64(8*time.Second))
+func (poller *faultyPoller) Begin(now time.Duration, snapshot bool) Call {
+	call := poller.Poller.Begin(now, snapshot)
+	switch poller.fault {
+	case longBodyTimeout:
+		call.BodyTimeout = call.FirstByteTimeout
+	case shortRequestedWait:
+		call.Wait = call.FirstByteTimeout + time.Second
+	case longWatchTimeout:
+		if call.Wait == MaxWait {
+			call.FirstByteTimeout = 4*time.Second + time.Duration(poller.random()*float64(8*time.Second))
 		}
 	}
-	return c
+	return call
 }
 
-func (w *wrong) End(now time.Duration, how Outcome) time.Duration {
-	after := w.Poller.End(now, how)
+func (poller *faultyPoller) End(now time.Duration, outcome Outcome) time.Duration {
+	delay := poller.Poller.End(now, outcome)
 	switch {
-	case w.fault == lapses && how == Complete:
+	case poller.fault == latePoll && outcome == Complete:
 		return 600 * time.Millisecond
-	case how == Complete || after <= minInterval:
-		w.row = 0
-	case w.fault == pausesLong:
-		w.row++
-		return time.Duration(float64(min(time.Second<<(w.row-1), mustAsk/2)) * (0.5 + w.random()))
-	case w.fault == fromEnd:
-		w.row++
-		return w.jitter(min(time.Second<<w.row, pollInterval))
+	case outcome == Complete || delay <= minInterval:
+		poller.failuresInRow = 0
+	case poller.fault == longBackoff:
+		poller.failuresInRow++
+		return time.Duration(float64(min(time.Second<<(poller.failuresInRow-1), mustAskIn/2)) * (0.5 + poller.random()))
+	case poller.fault == backoffFromEnd:
+		poller.failuresInRow++
+		return poller.jitter(min(time.Second<<poller.failuresInRow, pollInterval))
 	}
-	return after
+	return delay
 }
 
-// TestFaultsFound checks that the model finds each of the faults that the Poller had, or might have.
-func TestFaultsFound(t *testing.T) {
+// TestModelDetectsEachFaultyPoller checks that the model detects each of the faults that the Poller had or might have.
+func TestModelDetectsEachFaultyPoller(t *testing.T) {
 	t.Parallel()
-	for fault, alone := range map[string]bool{standsStill: false, toldLittle: false, lapses: false, waitsLong: true, pausesLong: true, fromEnd: true} {
-		_, err := walk(4, alone, false, func(draw float64) watcher {
-			return &wrong{Poller: New(func() float64 { return draw }, mustAsk), fault: fault}
+	for fault, boundOnly := range map[string]bool{longBodyTimeout: false, shortRequestedWait: false, latePoll: false, longWatchTimeout: true, longBackoff: true, backoffFromEnd: true} {
+		_, err := runAllScripts(4, boundOnly, false, func(draw float64) pollScheduler {
+			return &faultyPoller{Poller: New(func() float64 { return draw }, mustAskIn), fault: fault}
 		})
 		if err == nil {
-			t.Errorf("%s: not found", fault)
+			t.Errorf("%s: fault not detected", fault)
 		}
 		t.Logf("%s: %v", fault, err)
 	}
 }
 
-// TestLongWalks checks the same over many calls, with waits that depend on the calls before.
-func TestLongWalks(t *testing.T) {
+// TestChangesAreKnownInLongRandomScripts checks that the host knows each change by the time at which the change counts as
+// notified, over 40 calls with random results, as a timeout may depend on many earlier calls.
+func TestChangesAreKnownInLongRandomScripts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		s := script{}
-		row := 0
+		faultsInRow := 0
 		for range 40 {
-			f := fate(rng.IntN(int(fates)))
+			f := callResult(rng.IntN(int(callResultCount)))
 			if f != served {
-				row++
+				faultsInRow++
 			}
-			if f == served || row > 2 {
-				f, row = served, 0
+			if f == served || faultsInRow > 2 {
+				f, faultsInRow = served, 0
 			}
-			s.fates = append(s.fates, f)
+			s.results = append(s.results, f)
 		}
 		for n := range 80 {
 			if rng.IntN(3) == 0 {
-				s.at = append(s.at, n)
-				s.news = append(s.news, time.Duration(rng.IntN(9000))*time.Millisecond>>rng.IntN(8))
+				s.changePhases = append(s.changePhases, n)
+				s.changeDelays = append(s.changeDelays, time.Duration(rng.IntN(9000))*time.Millisecond>>rng.IntN(8))
 			}
 		}
-		if err := play(s, New(rng.Float64, mustAsk)); err != nil {
+		if err := runScript(s, New(rng.Float64, mustAskIn)); err != nil {
 			t.Fatalf("seed %d, %+v: %v", seed, s, err)
 		}
 	}
 }
 
-// TestBackoff checks that polls back off while discovery is down, silent or sends incomplete responses, as far as NotifiedAfter
-// allows.
-func TestBackoff(t *testing.T) {
+// TestPollsBackOffWhileDiscoveryFails checks that polls back off while discovery is down, unresponsive or sends incomplete
+// responses, as far as NotifiedAfter allows.
+func TestPollsBackOffWhileDiscoveryFails(t *testing.T) {
 	t.Parallel()
-	for _, how := range []Outcome{NoResponse, Incomplete, Failed} {
-		w := New(func() float64 { return 0.5 }, mustAsk)
+	for _, outcome := range []Outcome{NoResponse, Incomplete, Failed} {
+		poller := New(func() float64 { return 0.5 }, mustAskIn)
 		now, calls := time.Duration(0), 0
 		for now < 10*time.Minute {
-			c := w.Begin(now, false)
+			call := poller.Begin(now, false)
 			calls++
-			if how == NoResponse {
-				now += c.FirstByteTimeout
+			if outcome == NoResponse {
+				now += call.FirstByteTimeout
 			} else {
-				now += trip
+				now += roundTrip
 			}
-			now += w.End(now, how)
+			now += poller.End(now, outcome)
 		}
 		if calls > 600/5*2 {
-			t.Errorf("%v: %d calls in ten minutes", how, calls)
+			t.Errorf("%v: %d calls in ten minutes", outcome, calls)
 		}
-		t.Logf("%v: %d calls in ten minutes", how, calls)
+		t.Logf("%v: %d calls in ten minutes", outcome, calls)
 	}
 }
 
-// TestSharedBy checks that few instances keep the bound, and that many poll at most twice a second for each tier without faults,
-// up to the longest mean wait.
-func TestSharedBy(t *testing.T) {
+// TestSharedByLengthensWaitWithInstances checks that up to ten instances wait at most pollInterval. More instances of a tier
+// together poll at most twice per second without faults, until the mean wait reaches maxSharedWait.
+func TestSharedByLengthensWaitWithInstances(t *testing.T) {
 	t.Parallel()
 	for instances, mean := range map[int]time.Duration{0: pollInterval, 1: pollInterval, 10: pollInterval, 13: 6500 * time.Millisecond, 16: maxSharedWait, 300: maxSharedWait} {
 		rng := rand.New(rand.NewPCG(uint64(instances), 3))
-		w := New(rng.Float64, mustAsk).SharedBy(instances)
-		now, sum, most := time.Duration(0), time.Duration(0), time.Duration(0)
+		poller := New(rng.Float64, mustAskIn).SharedBy(instances)
+		now, sum, longest := time.Duration(0), time.Duration(0), time.Duration(0)
 		const calls = 2000
 		for range calls {
-			c := w.Begin(now, false)
-			if c.Wait != MaxWait { // the short call before what has died counts as told: it is answered
-				now += trip
-				w.End(now, Complete)
+			call := poller.Begin(now, false)
+			if call.Wait != MaxWait { // the short call that confirms the list before changes during an unanswered watch count as notified; it is answered
+				now += roundTrip
+				poller.End(now, Complete)
 				continue
 			}
-			now, sum, most = now+c.FirstByteTimeout, sum+c.FirstByteTimeout, max(most, c.FirstByteTimeout)
-			now += w.End(now, NoResponse)
+			now, sum, longest = now+call.FirstByteTimeout, sum+call.FirstByteTimeout, max(longest, call.FirstByteTimeout)
+			now += poller.End(now, NoResponse)
 		}
-		if mean == pollInterval && most > pollInterval {
-			t.Errorf("%d: waits %v", instances, most)
+		if mean == pollInterval && longest > pollInterval {
+			t.Errorf("%d instances: longest wait %v", instances, longest)
 		}
 		if got := sum / calls; got < mean*3/4 || got > mean*11/10 {
-			t.Errorf("%d: waits %v in the mean, want some %v", instances, got, mean)
+			t.Errorf("%d instances: mean wait %v, want about %v", instances, got, mean)
 		}
 	}
 }
