--- a/internal/platform/discoverypoll/load_test.go
+++ b/internal/platform/discoverypoll/load_test.go
@@ -172,9 +172,9 @@
 // loadResult is the result of a simulated run of a fleet.
 type loadResult struct {
 	steadyRate   float64          // calls per second without faults
-	peakRates    [5]int           // calls per second: at start, without faults, after all watches are lost, discovery down, discovery unresponsive
-	updateDelays [3]time.Duration // after all watches are lost, discovery down, discovery unresponsive
-	rejected     int
+	peakRates    [5]int           // calls per second: at start, no fault, watches lost after a change, discovery down, unresponsive
+	updateDelays [3]time.Duration // after the faults: watches lost, discovery down, discovery unresponsive
+	rejected     int              // calls rejected because the queue was full
 }
 
 // simulateFleet runs size instances for 500 s. All of them start, lose their watches and are rejected at the same time.
@@ -303,7 +303,7 @@
 					t.Errorf("%d instances: change known after %v", size, delay)
 				}
 			}
-			if worst.rejected > formerlyRejected[size] || worst.steadyRate > 0.23*float64(size)+0.02 { // 0.02: one call more of one instance within the 100 s measured
+			if worst.rejected > formerlyRejected[size] || worst.steadyRate > 0.23*float64(size)+0.02 { // 0.02 allows for one call more or less of one instance in the 100 s
 				t.Errorf("%d instances: %d calls rejected, %.2f calls/s without faults", size, worst.rejected, worst.steadyRate)
 			}
 			if size >= 80 && worst.peakRates[1] > size*6/10 {
--- a/internal/platform/discoverypoll/poller.go
+++ b/internal/platform/discoverypoll/poller.go
@@ -6,7 +6,8 @@
 // "Discovery" and "Figures"; STANDING) say when a change counts as notified:
 //
 //   - when it is written in the response to a call;
-//   - between a response and the next call, for NotificationGrace after the response, whether or not a call follows;
+//   - when it occurs between a response and the next call, within NotificationGrace after the response, whether or not a call
+//     follows;
 //   - NotifiedAfter after it occurred, if a response was begun and did not arrive completely;
 //   - UnansweredGrace after the wait of a call that got no response at all;
 //   - in any case NotifiedAfter after discovery had it and was reachable;
--- a/internal/platform/discoverypoll/poller_test.go
+++ b/internal/platform/discoverypoll/poller_test.go
@@ -11,7 +11,7 @@
 	dialTimeout = 1 * time.Second        // for establishing a connection; the value of the host
 	roundTrip   = 40 * time.Millisecond  // to discovery and back
 	slack       = 300 * time.Millisecond // the 250 ms that rule 3 allows, and 50 ms for sockets
-	mustAskIn   = 10 * time.Second       // after a failed call changes count as notified after four times this; NotifiedAfter is shorter
+	mustAskIn   = 10 * time.Second       // after a failed call, changes count as notified after four times this; NotifiedAfter passes first
 )
 
 // callResult is what the network and discovery do with a call.
@@ -62,9 +62,9 @@
 	}
 	snapshot := s.snapshot
 	for n := range len(s.results) + 6 {
-		f := served
+		result := served
 		if n < len(s.results) {
-			f = s.results[n]
+			result = s.results[n]
 		}
 		call := poller.Begin(now, snapshot)
 		timeoutAt := now + call.FirstByteTimeout
@@ -73,7 +73,7 @@
 				return fmt.Errorf("call %d at %v: change of %v is not known, discovery has been reachable since %v", n, now, change.occurredAt, change.reachableAt)
 			}
 		}
-		if f != served {
+		if result != served {
 			for i := range pending {
 				pending[i].reachableAt = now
 			}
@@ -89,18 +89,18 @@
 		var end time.Duration
 		var outcome Outcome
 		switch {
-		case f == refused:
+		case result == refused:
 			end, outcome = now+roundTrip, Failed
-		case f == dialTimedOut:
+		case result == dialTimedOut:
 			end, outcome = now+min(dialTimeout, call.FirstByteTimeout), Failed
-		case f == lateReset:
+		case result == lateReset:
 			end, outcome = timeoutAt, Failed
-		case f == unanswered || responseAt > timeoutAt:
+		case result == unanswered || responseAt > timeoutAt:
 			end, outcome = timeoutAt, NoResponse
 			for i := range pending { // changes during a call without a response
 				limitNotifiedAt(i, now+call.Wait+UnansweredGrace)
 			}
-		case f == served:
+		case result == served:
 			end, outcome = responseAt, Complete
 			for _, change := range pending {
 				if written := responseAt - roundTrip/2; change.occurredAt <= written && end > min(change.notifiedAt, written)+slack {
@@ -108,14 +108,15 @@
 				}
 			}
 			pending, snapshot = pending[:0], false
-		case f == bodyCutOff:
+		case result == bodyCutOff:
 			end, outcome = responseAt, Incomplete
 		default:
 			end, outcome = responseAt+call.BodyTimeout, Incomplete
 		}
 		if outcome == Incomplete {
 			for i, change := range pending {
-				limitNotifiedAt(i, max(change.occurredAt, now)+NotifiedAfter) // a change that an earlier call did not return was due in this response
+				// A change that an earlier call did not return was due in this response.
+				limitNotifiedAt(i, max(change.occurredAt, now)+NotifiedAfter)
 			}
 		}
 		if outcome == Failed {
@@ -132,7 +133,9 @@
 		for _, t := range changesIn(2*n+1, end, end+pause) {
 			notifiedAt := never
 			if !s.boundOnly && outcome == Complete && t-end <= NotificationGrace && pause+roundTrip/2 > NotificationGrace {
-				notifiedAt = t // the next call comes too late to continue the watch; otherwise it returns the change like one that occurs during it
+				// The next call comes too late to continue the watch. A call in time returns the change like one that occurs
+				// during the call.
+				notifiedAt = t
 			}
 			pending = append(pending, pendingChange{t, notifiedAt, t})
 		}
@@ -146,6 +149,7 @@
 	return nil
 }
 
+// never is a time after the end of every script.
 const never = time.Duration(1 << 62)
 
 // pollScheduler is a Poller or a variant of one.
@@ -166,14 +170,14 @@
 	var fill func(faultsInRow int) bool
 	fill = func(faultsInRow int) bool {
 		if len(script.results) < calls {
-			for f := range callResultCount {
+			for result := range callResultCount {
 				nextFaultsInRow := 0
-				if f != served {
+				if result != served {
 					if nextFaultsInRow = faultsInRow + 1; nextFaultsInRow > 2 && !boundOnly {
 						continue
 					}
 				}
-				script.results = append(script.results, f)
+				script.results = append(script.results, result)
 				ok := fill(nextFaultsInRow)
 				script.results = script.results[:len(script.results)-1]
 				if !ok {
@@ -249,34 +253,34 @@
 	backoffFromEnd     = "the backoff is counted from the end of the call"
 )
 
-func (poller *faultyPoller) Begin(now time.Duration, snapshot bool) Call {
-	call := poller.Poller.Begin(now, snapshot)
-	switch poller.fault {
+func (p *faultyPoller) Begin(now time.Duration, snapshot bool) Call {
+	call := p.Poller.Begin(now, snapshot)
+	switch p.fault {
 	case longBodyTimeout:
 		call.BodyTimeout = call.FirstByteTimeout
 	case shortRequestedWait:
 		call.Wait = call.FirstByteTimeout + time.Second
 	case longWatchTimeout:
 		if call.Wait == MaxWait {
-			call.FirstByteTimeout = 4*time.Second + time.Duration(poller.random()*float64(8*time.Second))
+			call.FirstByteTimeout = 4*time.Second + time.Duration(p.random()*float64(8*time.Second))
 		}
 	}
 	return call
 }
 
-func (poller *faultyPoller) End(now time.Duration, outcome Outcome) time.Duration {
-	delay := poller.Poller.End(now, outcome)
+func (p *faultyPoller) End(now time.Duration, outcome Outcome) time.Duration {
+	delay := p.Poller.End(now, outcome)
 	switch {
-	case poller.fault == latePoll && outcome == Complete:
+	case p.fault == latePoll && outcome == Complete:
 		return 600 * time.Millisecond
 	case outcome == Complete || delay <= minInterval:
-		poller.failuresInRow = 0
-	case poller.fault == longBackoff:
-		poller.failuresInRow++
-		return time.Duration(float64(min(time.Second<<(poller.failuresInRow-1), mustAskIn/2)) * (0.5 + poller.random()))
-	case poller.fault == backoffFromEnd:
-		poller.failuresInRow++
-		return poller.jitter(min(time.Second<<poller.failuresInRow, pollInterval))
+		p.failuresInRow = 0
+	case p.fault == longBackoff:
+		p.failuresInRow++
+		return time.Duration(float64(min(time.Second<<(p.failuresInRow-1), mustAskIn/2)) * (0.5 + p.random()))
+	case p.fault == backoffFromEnd:
+		p.failuresInRow++
+		return p.jitter(min(time.Second<<p.failuresInRow, pollInterval))
 	}
 	return delay
 }
@@ -304,14 +308,14 @@
 		s := script{}
 		faultsInRow := 0
 		for range 40 {
-			f := callResult(rng.IntN(int(callResultCount)))
-			if f != served {
+			result := callResult(rng.IntN(int(callResultCount)))
+			if result != served {
 				faultsInRow++
 			}
-			if f == served || faultsInRow > 2 {
-				f, faultsInRow = served, 0
+			if result == served || faultsInRow > 2 {
+				result, faultsInRow = served, 0
 			}
-			s.results = append(s.results, f)
+			s.results = append(s.results, result)
 		}
 		for n := range 80 {
 			if rng.IntN(3) == 0 {
@@ -360,7 +364,8 @@
 		const calls = 2000
 		for range calls {
 			call := poller.Begin(now, false)
-			if call.Wait != MaxWait { // the short call that confirms the list before changes during an unanswered watch count as notified; it is answered
+			// A short call confirms the list before changes during an unanswered watch count as notified. It is answered.
+			if call.Wait != MaxWait {
 				now += roundTrip
 				poller.End(now, Complete)
 				continue
