--- a/cmd/silvertrail/sidecar.go
+++ b/cmd/silvertrail/sidecar.go
@@ -120,7 +120,7 @@
 	})
 	var err error
 	s.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Client: s.client,
-		Watch: func() { s.discovery.Watch() }, Log: log})
+		PollDiscovery: func() { s.discovery.Watch() }, Log: log})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/balancer/engine/engine.go
+++ b/internal/balancer/engine/engine.go
@@ -40,13 +40,13 @@
 
 // Options configure an Engine.
 type Options struct {
-	Policy       lbpolicy.Settings
-	Seed         uint64
-	Zones        []string // names, indexed by the policy's zone numbers
-	ReportFields []string // names of the fields of a load report, in the order of Policy.ReportFields
-	Client       *upstream.Client
-	Watch        func() // polls the discovery service; must not block
-	Log          *slog.Logger
+	Policy        lbpolicy.Settings
+	Seed          uint64
+	Zones         []string // names, indexed by the policy's zone numbers
+	ReportFields  []string // names of the fields of a load report, in the order of Policy.ReportFields
+	Client        *upstream.Client
+	PollDiscovery func() // polls the discovery service; must not block
+	Log           *slog.Logger
 }
 
 // New returns an Engine without endpoints.
@@ -57,7 +57,7 @@
 		clock:           clock{time.Now()},
 		zones:           o.Zones,
 		reportFields:    o.ReportFields,
-		pollDiscovery:   o.Watch,
+		pollDiscovery:   o.PollDiscovery,
 		classes:         o.Policy.Classes,
 		calls:           map[lbpolicy.RequestID]*Call{},
 		endpoints:       map[lbpolicy.ServerID]*endpoint{},
--- a/internal/balancer/engine/engine_test.go
+++ b/internal/balancer/engine/engine_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
+	engine, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, PollDiscovery: func() {},
 		Client: upstream.NewClient(upstream.Options{DialTimeout: c.DialTimeout, IdleTimeout: time.Second, MaxConns: 64}), Log: slog.New(slog.NewTextHandler(log, nil))})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/balancer/engine/progress_test.go
+++ b/internal/balancer/engine/progress_test.go
@@ -73,7 +73,7 @@
 		return delayedReadConn{conn.(*net.TCPConn), lock, afterRead}, nil
 	}
 	client := upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: lbtest.Wait, MaxConns: maxConns, Dial: dial})
-	engine, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, Watch: func() {}, Client: client,
+	engine, err := New(Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, PollDiscovery: func() {}, Client: client,
 		Log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/balancer/engine/resets_test.go
+++ b/internal/balancer/engine/resets_test.go
@@ -75,7 +75,7 @@
 						t.Fatal(err)
 					}
 					conf.Policy.Classes, conf.Policy.MayHedge = classes, mayHedge
-					engine, err := New(Options{Policy: conf.Policy, Seed: seed, Zones: conf.Zones, Watch: func() {}, Log: slog.New(slog.DiscardHandler),
+					engine, err := New(Options{Policy: conf.Policy, Seed: seed, Zones: conf.Zones, PollDiscovery: func() {}, Log: slog.New(slog.DiscardHandler),
 						Client: upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: time.Second, MaxConns: 64, HedgeDials: true})})
 					if err != nil {
 						t.Fatal(err)
--- a/internal/base/updateorder/updateorder.go
+++ b/internal/base/updateorder/updateorder.go
@@ -212,8 +212,8 @@
 	return next
 }
 
-// StreamEnded drops the deferred updates of a stream that has ended. Current contents stay.
-func (o *Orderer) StreamEnded(s Stream) {
+// EndStream drops the deferred updates of a stream that has ended. Current contents stay.
+func (o *Orderer) EndStream(s Stream) {
 	for _, r := range o.resources {
 		if r.deferred != nil && r.deferred.source == s {
 			r.deferred = nil
--- a/internal/base/updateorder/updateorder_test.go
+++ b/internal/base/updateorder/updateorder_test.go
@@ -46,7 +46,7 @@
 	orderer := New(holdTime)
 	expectVerdict(t, orderer, 0, 1, "1", 1, Apply)
 	expectVerdict(t, orderer, 0, 1, "2", 2, Apply)
-	orderer.StreamEnded(1)
+	orderer.EndStream(1)
 	expectVerdict(t, orderer, time.Second, 2, "1", 1, Defer)
 	expectCurrent(t, orderer, 2)
 	expectVerdict(t, orderer, 20*time.Second, 2, "1", 1, Defer) // a repetition neither confirms the update nor restarts the hold time
@@ -122,7 +122,7 @@
 	expectVerdict(t, orderer, 0, 1, "2", 0, Apply)
 	expectVerdict(t, orderer, time.Second, 2, "1", 1, Defer)
 	expectCurrent(t, orderer, 0)
-	orderer.StreamEnded(2)
+	orderer.EndStream(2)
 	if due := orderer.ApplyDue(t0.Add(time.Hour)); len(due) > 0 || !orderer.NextDue().IsZero() {
 		t.Errorf("updates of an ended stream were applied or are still deferred: applied %v", due)
 	}
@@ -180,7 +180,7 @@
 				deferred, rollbacks = nil, rollbacks+1
 			}
 			if rng.IntN(4) == 0 {
-				orderer.StreamEnded(stream)
+				orderer.EndStream(stream)
 				deferred = nil
 				stream++
 			}
--- a/internal/edge/admission/grace_test.go
+++ b/internal/edge/admission/grace_test.go
@@ -10,7 +10,7 @@
 func TestRejectedConnectionIsAdmittedAfterRetryAfter(t *testing.T) {
 	const capacity = 4
 	now := time.Unix(1e9, 0)
-	controller := New(Policy{Capacity: capacity, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: time.Second,
+	controller := New(Policy{Capacity: capacity, Groups: []Group{{Name: DefaultGroupName}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: time.Second,
 		IdleProtection: time.Second}, now)
 	for range capacity {
 		v := controller.Admit(now, addrs[0], false, nil)
--- a/internal/edge/admission/model_test.go
+++ b/internal/edge/admission/model_test.go
@@ -30,7 +30,7 @@
 func drawPolicy(t *rapid.T) Policy {
 	p := Policy{IPv4Bits: 32, IPv6Bits: 64, RequestGrace: 300 * time.Millisecond,
 		IdleProtection: time.Duration(rapid.IntRange(0, 2).Draw(t, "idle protection seconds")) * time.Second,
-		Groups: []Group{{Name: Others, MaxPerSource: rapid.SampledFrom([]int{0, 0, 3}).Draw(t, "max per source")},
+		Groups: []Group{{Name: DefaultGroupName, MaxPerSource: rapid.SampledFrom([]int{0, 0, 3}).Draw(t, "max per source")},
 			{Name: "known", Networks: []netip.Prefix{netip.MustParsePrefix("10.1.0.0/16")}, CertificateNames: []string{"known", "*.known"},
 				Reserve: rapid.IntRange(0, 4).Draw(t, "reserve")},
 			{Name: "shared", Networks: []netip.Prefix{netip.MustParsePrefix("10.2.0.1/32")}, Weight: 8,
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	return Others
+	return DefaultGroupName
 }
 
 func sourcePrefix(a netip.Addr) netip.Prefix {
@@ -492,7 +492,7 @@
 func TestConnectionIsEvictedOnlyAfterHandshakeAndRequestGrace(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	at := start.Add
-	controller := New(Policy{Capacity: 1, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace,
+	controller := New(Policy{Capacity: 1, Groups: []Group{{Name: DefaultGroupName}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace,
 		IdleProtection: time.Second}, start)
 	first := controller.Admit(start, addrs[0], true, nil).Conn
 	if v := controller.Admit(at(900*time.Millisecond), addrs[1], true, nil); !v.Rejected {
@@ -513,7 +513,7 @@
 // its rate limiter is full again.
 func TestUnusedSourcesAreBoundedAndDeleted(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	p := Policy{Capacity: 4, Groups: []Group{{Name: Others, Rate: 1, Burst: 2}}, IPv4Bits: 32, IPv6Bits: 64}
+	p := Policy{Capacity: 4, Groups: []Group{{Name: DefaultGroupName, Rate: 1, Burst: 2}}, IPv4Bits: 32, IPv6Bits: 64}
 	controller := New(p, now)
 	for i := range maxUnusedSources + 100 {
 		v := controller.Admit(now, netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), false, nil)
@@ -532,7 +532,7 @@
 
 func BenchmarkController(b *testing.B) {
 	for _, sources := range []int{1, 1000, 100000} {
-		p := Policy{Capacity: sources, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, IdleProtection: time.Second}
+		p := Policy{Capacity: sources, Groups: []Group{{Name: DefaultGroupName}}, IPv4Bits: 32, IPv6Bits: 64, IdleProtection: time.Second}
 		now := time.Unix(1e9, 0)
 		controller := New(p, now)
 		var conns []*Conn
--- a/internal/edge/admission/policy.go
+++ b/internal/edge/admission/policy.go
@@ -66,11 +66,11 @@
 
 // SingleGroup returns a policy with one group, in which new connections wait in the accept queue while all slots are in use.
 func SingleGroup(capacity int) Policy {
-	return Policy{Capacity: capacity, Groups: []Group{{Name: Others}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace, BlockWhenFull: true}
+	return Policy{Capacity: capacity, Groups: []Group{{Name: DefaultGroupName}}, IPv4Bits: 32, IPv6Bits: 64, RequestGrace: defaultRequestGrace, BlockWhenFull: true}
 }
 
-// Others is the name of the default group, of the clients that match no other group.
-const Others = "others"
+// DefaultGroupName is the name of the default group, of the clients that match no other group.
+const DefaultGroupName = "others"
 
 // defaultRequestGrace is the RequestGrace of SingleGroup.
 const defaultRequestGrace = 300 * time.Millisecond
--- a/internal/edge/frontend/disconnect_test.go
+++ b/internal/edge/frontend/disconnect_test.go
@@ -124,7 +124,7 @@
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}
 	server.client = upstream.NewClient(upstream.Options{DialTimeout: lbtest.Wait, IdleTimeout: time.Second, MaxConns: 64, Dial: dial, HedgeDials: true, MaxStreamBytes: sidecar.MaxBodyBytes})
-	server.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {}, Client: server.client, Log: quiet})
+	server.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, PollDiscovery: func() {}, Client: server.client, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/frontend/server_test.go
+++ b/internal/edge/frontend/server_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	e, err := engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
+	e, err := engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, PollDiscovery: func() {},
 		Client: upstream.NewClient(upstream.Options{DialTimeout: c.DialTimeout, IdleTimeout: time.Second, MaxConns: 64,
 			MaxStreamBytes: sidecar.MaxBodyBytes}), Log: quiet})
 	if err != nil {
--- a/internal/gateway/cluster/cluster.go
+++ b/internal/gateway/cluster/cluster.go
@@ -108,7 +108,7 @@
 		Allocation: cluster.conns, AnyStatus: true, OnExhausted: r.OnExhausted})
 	var err error
 	cluster.engine, err = engine.New(engine.Options{Policy: c.Policy, Seed: seed, Zones: c.Zones, ReportFields: c.ReportFields, Client: cluster.client,
-		Watch: func() {}, Log: cluster.log})
+		PollDiscovery: func() {}, Log: cluster.log})
 	if err != nil {
 		return nil, fmt.Errorf("cluster %q: %w", c.Name, err)
 	}
--- a/internal/gateway/conf/clients.go
+++ b/internal/gateway/conf/clients.go
@@ -35,7 +35,7 @@
 // clientGroups reads the clients blocks. Group 0 holds all clients that no block matches. The capacity that a listener reserves for a
 // group is read together with the listener.
 func (p *parser) clientGroups(blocks hcl.Blocks) []admission.Group {
-	groups := []admission.Group{{Name: admission.Others}}
+	groups := []admission.Group{{Name: admission.DefaultGroupName}}
 	taken := groupNames{networks: map[netip.Prefix]string{}, certificates: map[string]string{}}
 	for _, b := range blocks {
 		groups = append(groups, p.clientGroup(b, taken))
@@ -47,7 +47,7 @@
 func (p *parser) clientGroup(b *hcl.Block, taken groupNames) admission.Group {
 	s := p.decodeBlock("clients "+quote(b.Labels[0]), b.DefRange, b.Body, []string{"networks", "file", "certificates", "deny", "per_address", "rate", "burst", "weight"}, nil)
 	group := admission.Group{Name: b.Labels[0], Deny: s.boolean("deny"), Weight: s.number("weight", 1, 0.01, 1e6)}
-	if group.Name == admission.Others {
+	if group.Name == admission.DefaultGroupName {
 		p.report(b.LabelRanges[0], "Name taken", "%q are those who are of no clients block.", group.Name)
 	}
 	p.sourceLimits(s, &group)
--- a/internal/gateway/conf/clients_test.go
+++ b/internal/gateway/conf/clients_test.go
@@ -83,7 +83,7 @@
 	if p.Capacity != 100 || p.IPv4Bits != 32 || p.IPv6Bits != 56 || p.FreeFactor != 8 || p.IdleProtection != 3*time.Second || p.BlockWhenFull || l.TLS.Files.Key != filepath.Join(folder, "gate.key") {
 		t.Errorf("admission policy %+v or TLS settings %+v differ from the file", p, l.TLS)
 	}
-	if g := p.Groups[0]; g.Name != admission.Others || g.MaxPerSource != 40 || g.Rate != 20 || g.Burst != 60 {
+	if g := p.Groups[0]; g.Name != admission.DefaultGroupName || g.MaxPerSource != 40 || g.Rate != 20 || g.Burst != 60 {
 		t.Errorf("group of all other clients differs from the file: %+v", g)
 	}
 	if g := p.Groups[1]; g.Reserve != 30 || g.MaxConns != 60 || g.MaxPerSource != 30 || len(g.CertificateNames) != 2 {
--- a/internal/gateway/conf/clusters.go
+++ b/internal/gateway/conf/clusters.go
@@ -34,7 +34,7 @@
 	c.ConnectTimeout = s.duration("connect_timeout", time.Second, time.Millisecond, time.Minute)
 	for _, l := range s.list("load_report") {
 		c.ReportFields = append(c.ReportFields, l.text)
-		settings.ReportFields = append(settings.ReportFields, lbpolicy.Fields[l.text])
+		settings.ReportFields = append(settings.ReportFields, lbpolicy.ReportFieldsByName[l.text])
 	}
 	c.Policy, c.Zones = settings, zones
 	c.ReserveFraction = s.percentage("reserve", 0.5/float64(max(n, 1)))
--- a/internal/gateway/conf/routes.go
+++ b/internal/gateway/conf/routes.go
@@ -163,10 +163,10 @@
 	}
 	m.Methods = p.readMethods(s.list("methods"))
 	for name, value := range s.stringMap("headers") {
-		m.Headers = append(m.Headers, route.Value{Name: name, Value: value, AnyValue: value == "*"})
+		m.Headers = append(m.Headers, route.ValueMatch{Name: name, Value: value, AnyValue: value == "*"})
 	}
 	for name, value := range s.stringMap("query") {
-		m.Query = append(m.Query, route.Value{Name: name, Value: value, AnyValue: value == "*"})
+		m.Query = append(m.Query, route.ValueMatch{Name: name, Value: value, AnyValue: value == "*"})
 	}
 	m.Class, m.Tenant = s.text("class", ""), s.text("tenant", "")
 	if s.has("class") {
--- a/internal/gateway/route/rule.go
+++ b/internal/gateway/route/rule.go
@@ -49,8 +49,8 @@
 	Pattern string
 }
 
-// Value is a condition on a header or a query parameter.
-type Value struct {
+// ValueMatch is a condition on a header or a query parameter.
+type ValueMatch struct {
 	Name     string
 	Value    string
 	AnyValue bool // matches any value
@@ -63,8 +63,8 @@
 	Path      Path
 	Methods   []string
 	// A header that occurs several times matches only with AnyValue, because implementations differ in which value they use.
-	Headers []Value
-	Query   []Value // only the first value of a parameter is compared
+	Headers []ValueMatch
+	Query   []ValueMatch // only the first value of a parameter is compared
 	Class   string
 	Tenant  string
 }
@@ -154,9 +154,9 @@
 	return h ^ h>>31
 }
 
-// Path returns the path with which a request of this rule is forwarded. The argument matched is the path condition that the
+// ForwardedPath returns the path with which a request of this rule is forwarded. The argument matched is the path condition that the
 // request matched.
-func (r *Rule) Path(path string, matched Path) string {
+func (r *Rule) ForwardedPath(path string, matched Path) string {
 	if r.Rewrite == nil {
 		return path
 	}
@@ -263,7 +263,7 @@
 	for i := range m.Headers {
 		m.Headers[i].Name = textproto.CanonicalMIMEHeaderKey(m.Headers[i].Name)
 	}
-	for _, values := range [][]Value{m.Headers, m.Query} {
+	for _, values := range [][]ValueMatch{m.Headers, m.Query} {
 		if err := checkValues(values); err != nil {
 			return err
 		}
@@ -298,8 +298,8 @@
 }
 
 // checkValues sorts values by name, and checks that no name is empty or occurs twice.
-func checkValues(values []Value) error {
-	slices.SortFunc(values, func(a, b Value) int { return strings.Compare(a.Name, b.Name) })
+func checkValues(values []ValueMatch) error {
+	slices.SortFunc(values, func(a, b ValueMatch) int { return strings.Compare(a.Name, b.Name) })
 	for i := range values {
 		if values[i].Name == "" || i > 0 && values[i].Name == values[i-1].Name {
 			return fmt.Errorf("header or parameter %q: empty, or named twice", values[i].Name)
--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -413,7 +413,7 @@
 }
 
 // flattenValues returns the fields of all values in one list.
-func flattenValues(values []Value) (out []string) {
+func flattenValues(values []ValueMatch) (out []string) {
 	for _, v := range values {
 		out = append(out, v.Name, v.Value, strconv.FormatBool(v.AnyValue))
 	}
--- a/internal/gateway/route/table_test.go
+++ b/internal/gateway/route/table_test.go
@@ -181,11 +181,11 @@
 	}
 	for _, name := range []string{"x-one", "X-Two"} {
 		if d.IntN(4) == 0 {
-			m.Headers = append(m.Headers, Value{name, d.oneOf("1", "2"), d.IntN(2) == 0})
+			m.Headers = append(m.Headers, ValueMatch{name, d.oneOf("1", "2"), d.IntN(2) == 0})
 		}
 	}
 	if d.IntN(4) == 0 {
-		m.Query = []Value{{"q", d.oneOf("1", "a b"), d.IntN(2) == 0}}
+		m.Query = []ValueMatch{{"q", d.oneOf("1", "a b"), d.IntN(2) == 0}}
 	}
 	if d.IntN(5) == 0 {
 		m.Class = d.oneOf("read", "write")
@@ -274,7 +274,7 @@
 		"a whole segment":      {{Name: "a", Respond: ok, Matches: []Match{{Path: Path{Template, "/a{x}"}}}}},
 		"climbs over":          {{Name: "a", Respond: ok, Matches: []Match{{Path: Path{Exact, "/.."}}}}},
 		"host \"*.\"":          {{Name: "a", Respond: ok, Matches: []Match{{Hosts: []string{"*."}}}}},
-		"\"X-One\"":            {{Name: "a", Respond: ok, Matches: []Match{{Headers: []Value{{Name: "x-one"}, {Name: "X-One"}}}}}},
+		"\"X-One\"":            {{Name: "a", Respond: ok, Matches: []Match{{Headers: []ValueMatch{{Name: "x-one"}, {Name: "X-One"}}}}}},
 		"can't be rewritten":   {{Name: "a", Targets: []Target{{"c", 1}}, Rewrite: new(string), Matches: []Match{{Path: Path{Template, "/{x}"}}}}},
 	} {
 		if rules[0].Rewrite != nil {
@@ -338,12 +338,12 @@
 		{"/old", "/", "/old", "/"}, {"/", "/new", "/a", "/new/a"}, {"/", "/new/", "/", "/new/"}, {"/old", "/new", "/old/", "/new/"},
 	} {
 		r := Rule{Rewrite: &c[1]}
-		if got := r.Path(c[2], Path{Prefix, c[0]}); got != c[3] {
+		if got := r.ForwardedPath(c[2], Path{Prefix, c[0]}); got != c[3] {
 			t.Errorf("prefix, rewrite, path and wanted path %v: got %q", c, got)
 		}
 	}
 	rewrite := "/b"
-	if got := (&Rule{Rewrite: &rewrite}).Path("/a", Path{Exact, "/a"}); got != "/b" {
+	if got := (&Rule{Rewrite: &rewrite}).ForwardedPath("/a", Path{Exact, "/a"}); got != "/b" {
 		t.Error(got)
 	}
 }
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -71,7 +71,7 @@
 	}
 	x.originalTarget = withQuery(path, query)
 	x.outgoing.Method = r.Method
-	x.outgoing.Target = withQuery(rule.Path(path, found.Path), query)
+	x.outgoing.Target = withQuery(rule.ForwardedPath(path, found.Path), query)
 	x.outgoing.Host = r.Host
 	x.setHeaders(r, listener)
 	x.clusterName = rule.Pick(x.splitKey(r, path))
--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -228,7 +228,7 @@
 	t.Cleanup(func() { s.Close() })
 	w := &told{}
 	c := New(l.Addr().String(), mustAsk, 7, w.members, slog.New(slog.DiscardHandler))
-	c.poller.Wait = 200 * time.Millisecond
+	c.poller.WatchTimeout = 200 * time.Millisecond
 	first := firstPause(c)
 	run(t, c)
 	c.Watch()
@@ -284,7 +284,7 @@
 			}()
 			w := &told{}
 			c := New(l.Addr().String(), mustAsk, 7, w.members, slog.New(slog.DiscardHandler))
-			c.poller.Wait = time.Hour
+			c.poller.WatchTimeout = time.Hour
 			first := firstPause(c)
 			run(t, c)
 			c.Watch()
--- a/internal/platform/discoverypoll/poller.go
+++ b/internal/platform/discoverypoll/poller.go
@@ -72,7 +72,7 @@
 
 // Poller decides on the calls of one instance. New returns one. It is not safe for concurrent use.
 type Poller struct {
-	Wait time.Duration // mean timeout for the first byte of a response to a watch; set by New and SharedBy
+	WatchTimeout time.Duration // mean timeout for the first byte of a response to a watch; set by New and SharedBy
 
 	random           func() float64 // in [0, 1)
 	maxBackoff       time.Duration  // before jitter
@@ -88,7 +88,7 @@
 // New returns a Poller. The function random returns uniformly distributed numbers in [0, 1). The argument mustAskIn is the
 // bound of the settings on the time between polls, or zero if there is none.
 func New(random func() float64, mustAskIn time.Duration) *Poller {
-	p := &Poller{Wait: pollInterval, random: random, maxBackoff: pollInterval, synchronized: true}
+	p := &Poller{WatchTimeout: pollInterval, random: random, maxBackoff: pollInterval, synchronized: true}
 	if mustAskIn > 0 {
 		p.maxBackoff = min(p.maxBackoff, mustAskIn*3/4)
 	}
@@ -97,8 +97,8 @@
 
 // SharedBy sets how many instances of the tier poll the same discovery, by the settings, and returns the Poller.
 func (p *Poller) SharedBy(instances int) *Poller {
-	p.Wait = min(max(time.Duration(instances)*waitPerInstance, pollInterval), maxSharedWait)
-	p.shared = p.Wait > pollInterval
+	p.WatchTimeout = min(max(time.Duration(instances)*waitPerInstance, pollInterval), maxSharedWait)
+	p.shared = p.WatchTimeout > pollInterval
 	return p
 }
 
@@ -128,11 +128,11 @@
 func (p *Poller) firstByteTimeout() time.Duration {
 	switch {
 	case p.shared:
-		return p.Wait/2 + time.Duration(p.random()*float64(p.Wait))
+		return p.WatchTimeout/2 + time.Duration(p.random()*float64(p.WatchTimeout))
 	case p.synchronized:
-		return p.Wait/10 + time.Duration(p.random()*float64(p.Wait*9/10))
+		return p.WatchTimeout/10 + time.Duration(p.random()*float64(p.WatchTimeout*9/10))
 	}
-	return p.Wait
+	return p.WatchTimeout
 }
 
 // End records how the call that Begin returned has ended, and returns the time until the next one.
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -101,7 +101,7 @@
 	}
 	if doc.Telemetry.Via == "inline" {
 		for _, f := range doc.Telemetry.Fields {
-			s.ReportFields = append(s.ReportFields, lbpolicy.Fields[f])
+			s.ReportFields = append(s.ReportFields, lbpolicy.ReportFieldsByName[f])
 		}
 	}
 	return s, nil
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("unexpected class %+v", c)
 	}
 	if !s.PollDiscovery || !s.RetriesMarked || s.SlowStart != 22*time.Second || s.Tenants[0].QuotaPerSecond != 16 ||
-		!slices.Equal(s.ReportFields, []lbpolicy.Field{lbpolicy.FieldUtilization, lbpolicy.FieldRequestRate}) || s.Index != 2 ||
+		!slices.Equal(s.ReportFields, []lbpolicy.ReportField{lbpolicy.FieldUtilization, lbpolicy.FieldRequestRate}) || s.Index != 2 ||
 		s.MaxRetryAfter != 2*time.Second || s.OverloadMultiple != 2.5 || s.CrossZonePrice != 0.01 {
 		t.Errorf("unexpected settings %+v", s)
 	}
--- a/internal/platform/sidecar/counters_test.go
+++ b/internal/platform/sidecar/counters_test.go
@@ -38,7 +38,7 @@
 	set := &counters.Set{}
 	client := upstream.NewClient(upstream.Options{DialTimeout: settings.DialTimeout, IdleTimeout: time.Second, MaxConns: 64, MaxStreamBytes: MaxBodyBytes,
 		OnSent: func() { set.AttemptsSent.Add(1) }})
-	lbEngine, err := engine.New(engine.Options{Policy: settings.Policy, Seed: settings.Seed, Zones: settings.Zones, ReportFields: settings.ReportFields, Watch: func() {},
+	lbEngine, err := engine.New(engine.Options{Policy: settings.Policy, Seed: settings.Seed, Zones: settings.Zones, ReportFields: settings.ReportFields, PollDiscovery: func() {},
 		Client: client, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/sidecar/router_test.go
+++ b/internal/platform/sidecar/router_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lbEngine, err := engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, Watch: func() {},
+	lbEngine, err := engine.New(engine.Options{Policy: c.Policy, Seed: c.Seed, Zones: c.Zones, ReportFields: c.ReportFields, PollDiscovery: func() {},
 		Client: upstream.NewClient(upstream.Options{DialTimeout: c.DialTimeout, IdleTimeout: time.Second, MaxConns: 64}), Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/xds/cache/cache.go
+++ b/internal/xds/cache/cache.go
@@ -97,7 +97,7 @@
 
 // StreamEnded records that a stream has ended, or is not active any more.
 func (c *Cache) StreamEnded(stream updateorder.Stream) {
-	c.order.StreamEnded(stream)
+	c.order.EndStream(stream)
 	delete(c.streams, stream)
 	for _, entries := range c.entries {
 		for _, e := range entries {
--- a/lbpolicy/api.go
+++ b/lbpolicy/api.go
@@ -62,18 +62,18 @@
 	Name           string  // Configure matches old and new tenants by name, unless it is empty
 }
 
-// Field identifies one value of a load report.
-type Field uint8
+// ReportField identifies one value of a load report.
+type ReportField uint8
 
 // Values of Field.
 const (
-	FieldOther Field = iota // ignored
+	FieldOther ReportField = iota // ignored
 	FieldUtilization
 	FieldRequestRate // requests per second, from all balancers together
 )
 
-// Fields maps the names that servers use in load reports to fields.
-var Fields = map[string]Field{"util": FieldUtilization, "qps": FieldRequestRate}
+// ReportFieldsByName maps the names that servers use in load reports to fields.
+var ReportFieldsByName = map[string]ReportField{"util": FieldUtilization, "qps": FieldRequestRate}
 
 // Settings configure a balancer.
 type Settings struct {
@@ -102,7 +102,7 @@
 
 	CrossZonePrice, HandshakePrice float64
 
-	ReportFields []Field // the values of a load report, in order
+	ReportFields []ReportField // the values of a load report, in order
 }
 
 // State is the state of a server in discovery.
--- a/lbpolicy/balancer_test.go
+++ b/lbpolicy/balancer_test.go
@@ -70,7 +70,7 @@
 		class(5, KeyedIdempotent, ScopeZone), class(5, KeyedIdempotent, ScopeCell), class(10, NonIdempotent, 0)},
 		MaxAttempts: 3, MayCancel: true, MayHedge: true, InitialCapacity: 0.2, SlowStart: 10 * sec,
 		OverloadMultiple: 3, OverloadWindow: 2 * sec, MaxPollInterval: 8 * sec,
-		ReportFields: []Field{FieldUtilization}}
+		ReportFields: []ReportField{FieldUtilization}}
 }
 
 func newBalancer(t *testing.T, cfg Settings, list ...Server) (*Balancer, *recorder) {
@@ -208,7 +208,7 @@
 // minimum.
 func TestLoadReportsRaiseCapacityInSlowStart(t *testing.T) {
 	cfg := testSettings()
-	cfg.Balancers, cfg.ReportFields = 10, []Field{FieldUtilization, FieldRequestRate}
+	cfg.Balancers, cfg.ReportFields = 10, []ReportField{FieldUtilization, FieldRequestRate}
 	list := readyServers(4)
 	list[0].StartedAt, list[1].StartedAt = 100*sec, 100*sec
 	b, _ := newBalancer(t, cfg, list...)
@@ -240,7 +240,7 @@
 // stay idle beside an overloaded server.
 func TestServerInSlowStartIsRankedWithinBudget(t *testing.T) {
 	cfg := testSettings()
-	cfg.Balancers, cfg.ReportFields = 10, []Field{FieldUtilization, FieldRequestRate}
+	cfg.Balancers, cfg.ReportFields = 10, []ReportField{FieldUtilization, FieldRequestRate}
 	list := readyServers(2)
 	list[0].StartedAt = 99 * sec
 	b, h := newBalancer(t, cfg, list...)
--- a/lbpolicy/fleet_test.go
+++ b/lbpolicy/fleet_test.go
@@ -132,7 +132,7 @@
 		Classes:     []Class{class(1, Idempotent, 0), class(3, KeyedIdempotent, ScopeAll), class(10, KeyedIdempotent, ScopeZone)},
 		MaxAttempts: 3, MayCancel: true, MayHedge: true, SendsRetryAfter: true, MaxRetryAfter: 2 * sec, ConnIdleTimeout: 5 * sec,
 		InitialCapacity: 0.15, SlowStart: 22 * sec, OverloadMultiple: 2.5, OverloadWindow: 2 * sec, MaxPollInterval: 10 * sec,
-		CrossZonePrice: 0.01, ReportFields: []Field{FieldUtilization, FieldRequestRate}}
+		CrossZonePrice: 0.01, ReportFields: []ReportField{FieldUtilization, FieldRequestRate}}
 }
 
 // newFleet returns a fleet whose balancers start within a second, each with an even share of the load.
