--- a/internal/platform/handover/handover_test.go
+++ b/internal/platform/handover/handover_test.go
@@ -22,57 +22,57 @@
 	"silvertrail/lbpolicy"
 )
 
-// self is a process's host in a test: a table of keys, ejections, and the calls it received.
-type self struct {
+// fakeHost is a process's host in a test: a table of keys, ejections, and the calls it received.
+type fakeHost struct {
 	t        *testing.T
 	listener *net.TCPListener
 	keys     *idempotency.Table
 
 	mu      sync.Mutex
-	bans    map[string]bool
+	ejected    map[string]bool
 	retired bool
-	resumed int
-	alone   int
+	resumeCount int
+	predecessorEndedCount   int
 }
 
-func newSelf(t *testing.T) *self {
+func newFakeHost(t *testing.T) *fakeHost {
 	t.Helper()
-	return &self{t: t, listener: lbtest.Listen(t).(*net.TCPListener), keys: idempotency.New(1 << 16), bans: map[string]bool{}}
+	return &fakeHost{t: t, listener: lbtest.Listen(t).(*net.TCPListener), keys: idempotency.New(1 << 16), ejected: map[string]bool{}}
 }
 
-func (s *self) Offer() Offer {
+func (s *fakeHost) Offer() Offer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := Offer{Listen: s.listener.Addr().String(), Endpoints: []endpointlist.Endpoint{{Name: "s", Address: "127.0.0.1:1", Zone: "a", Status: "ready"}}}
-	for id := range s.bans {
+	for id := range s.ejected {
 		o.Ejected = append(o.Ejected, id)
 	}
 	return o
 }
 
-func (s *self) Listener() syscall.Conn { return s.listener }
+func (s *fakeHost) Listener() syscall.Conn { return s.listener }
 
-func (s *self) Retire() (keys []idempotency.Record, t State) {
+func (s *fakeHost) Retire() (keys []idempotency.Record, t State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retired = true
 	s.keys.Each(time.Now(), func(k idempotency.Record) bool { keys = append(keys, k); return true })
-	for id := range s.bans {
+	for id := range s.ejected {
 		t.Ejected = append(t.Ejected, id)
 	}
 	return keys, t
 }
 
-func (s *self) Resume()           { s.mu.Lock(); defer s.mu.Unlock(); s.retired = false; s.resumed++ }
-func (s *self) PredecessorEnded() { s.mu.Lock(); defer s.mu.Unlock(); s.alone++ }
+func (s *fakeHost) Resume()           { s.mu.Lock(); defer s.mu.Unlock(); s.retired = false; s.resumeCount++ }
+func (s *fakeHost) PredecessorEnded() { s.mu.Lock(); defer s.mu.Unlock(); s.predecessorEndedCount++ }
 
-func (s *self) AddKeys(keys []idempotency.Record) {
+func (s *fakeHost) AddKeys(keys []idempotency.Record) {
 	for _, k := range keys {
 		s.keys.Merge(time.Now(), k)
 	}
 }
 
-func (s *self) ClaimKey(a Claim) KeyState {
+func (s *fakeHost) ClaimKey(a Claim) KeyState {
 	now := time.Now()
 	past := s.keys.KeyState(now, idempotency.KeyID(a.ID), a.Scope)
 	to := a.To.KeyState(now)
@@ -83,26 +83,26 @@
 	return NewKeyState(now, past)
 }
 
-func (s *self) SetEjected(id string, on bool) {
+func (s *fakeHost) SetEjected(id string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if on {
-		s.bans[id] = true
+		s.ejected[id] = true
 	} else {
-		delete(s.bans, id)
+		delete(s.ejected, id)
 	}
 }
 
-func (s *self) has(f func() bool) func() bool {
+func (s *fakeHost) locked(f func() bool) func() bool {
 	return func() bool { s.mu.Lock(); defer s.mu.Unlock(); return f() }
 }
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// first starts a process without a predecessor, which listens for successors.
-func first(t *testing.T, path string) (*Process, *self) {
+// startFirstProcess starts a process without a predecessor, which listens for successors.
+func startFirstProcess(t *testing.T, path string) (*Process, *fakeHost) {
 	t.Helper()
-	s := newSelf(t)
+	s := newFakeHost(t)
 	p, offer, l := Start(path, s, quiet)
 	if offer != nil || l != nil || !p.IsFirst() {
 		t.Fatal("an offer of nobody")
@@ -114,10 +114,10 @@
 	return p, s
 }
 
-// next starts a process that takes over.
-func next(t *testing.T, path string) (*Process, *self, *State) {
+// startSuccessor starts a process that takes over.
+func startSuccessor(t *testing.T, path string) (*Process, *fakeHost, *State) {
 	t.Helper()
-	s := newSelf(t)
+	s := newFakeHost(t)
 	p, offer, l := Start(path, s, quiet)
 	if offer == nil || p.IsFirst() {
 		t.Fatal("no offer")
@@ -135,7 +135,7 @@
 	return p, s, taken
 }
 
-func attempt(key, zone string) Claim {
+func newClaim(key, zone string) Claim {
 	return Claim{ID: KeyID(idempotency.KeyIDOf("t", key)), Scope: lbpolicy.ScopeZone, ExpiresIn: time.Minute, To: KeyState{Known: true, Zone: zone, RetryWindow: time.Minute}}
 }
 
@@ -143,19 +143,19 @@
 // first process are made at the last.
 func TestChainOfProcesses(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:80")
-	one, s1 := first(t, path)
+	one, s1 := startFirstProcess(t, path)
 	s1.SetEjected("down", true)
 	for i := range 3*maxKeysPerMessage + 1 { // more than one message holds
-		s1.ClaimKey(attempt(string(rune('a'+i%26))+strings.Repeat("x", i/26), "north"))
+		s1.ClaimKey(newClaim(string(rune('a'+i%26))+strings.Repeat("x", i/26), "north"))
 	}
-	two, s2, taken := next(t, path)
+	two, s2, taken := startSuccessor(t, path)
 	if !slices.Equal(taken.Ejected, []string{"down"}) || taken.KeyCount != s1.keys.Len() || s2.keys.Len() != s1.keys.Len() {
 		t.Errorf("%d keys of %d, %+v", s2.keys.Len(), s1.keys.Len(), taken.Ejected)
 	}
 	if !one.IsRetired() || two.IsRetired() {
 		t.Error("who has retired?")
 	}
-	three, s3, _ := next(t, path)
+	three, s3, _ := startSuccessor(t, path)
 
 	// The socket is one: what connects at the first one's address is accepted by the last.
 	c, err := net.Dial("tcp", s1.listener.Addr().String())
@@ -168,14 +168,14 @@
 	}
 
 	// A key that the last one has bound is known to the first, through the second.
-	if p := s3.ClaimKey(attempt("new", "south")); p.Zone != "south" {
+	if p := s3.ClaimKey(newClaim("new", "south")); p.Zone != "south" {
 		t.Fatal(p)
 	}
-	p, err := one.ClaimKey(context.Background(), attempt("new", "north"))
+	p, err := one.ClaimKey(context.Background(), newClaim("new", "north"))
 	if err != nil || p.Zone != "south" {
 		t.Errorf("%+v %v", p, err)
 	}
-	if p, err = one.ClaimKey(context.Background(), attempt("other", "north")); err != nil || p.Zone != "north" {
+	if p, err = one.ClaimKey(context.Background(), newClaim("other", "north")); err != nil || p.Zone != "north" {
 		t.Errorf("%+v %v", p, err)
 	}
 	if !s3.keys.KeyState(time.Now(), idempotency.KeyIDOf("t", "other"), lbpolicy.ScopeZone).Known {
@@ -185,21 +185,21 @@
 	// Bans pass both ways, over the one between.
 	three.NotifyEjection(context.Background(), "by three", true)
 	one.NotifyEjection(context.Background(), "by one", true)
-	for _, s := range []*self{s1, s2} {
-		lbtest.Until(t, "a ban said at the last", s.has(func() bool { return s.bans["by three"] }))
+	for _, s := range []*fakeHost{s1, s2} {
+		lbtest.Until(t, "a ban said at the last", s.locked(func() bool { return s.ejected["by three"] }))
 	}
-	for _, s := range []*self{s2, s3} {
-		lbtest.Until(t, "a ban said at the first", s.has(func() bool { return s.bans["by one"] }))
+	for _, s := range []*fakeHost{s2, s3} {
+		lbtest.Until(t, "a ban said at the first", s.locked(func() bool { return s.ejected["by one"] }))
 	}
 
 	one.Close()
-	lbtest.Until(t, "the second is alone before the third", s2.has(func() bool { return s2.alone == 1 }))
+	lbtest.Until(t, "the second is alone before the third", s2.locked(func() bool { return s2.predecessorEndedCount == 1 }))
 	two.Close()
-	lbtest.Until(t, "the third is alone", s3.has(func() bool { return s3.alone == 1 }))
+	lbtest.Until(t, "the third is alone", s3.locked(func() bool { return s3.predecessorEndedCount == 1 }))
 	if _, err := os.Stat(path); err != nil {
 		t.Error("the last one's socket has gone with the others")
 	}
-	if s1.resumed+s2.resumed > 0 {
+	if s1.resumeCount+s2.resumeCount > 0 {
 		t.Error("one that has ended takes clients")
 	}
 	three.Close()
@@ -212,33 +212,33 @@
 // clients again). While one has taken over another is rejected.
 func TestSuccessorDisconnects(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:80")
-	one, s1 := first(t, path)
+	one, s1 := startFirstProcess(t, path)
 	for range 3 {
-		p, offer, l := Start(path, newSelf(t), quiet)
+		p, offer, l := Start(path, newFakeHost(t), quiet)
 		if offer == nil {
 			t.Fatal("no offer")
 		}
 		l.Close()
 		p.Close()
 	}
-	a, _, la := Start(path, newSelf(t), quiet)
-	b, _, lb := Start(path, newSelf(t), quiet)
+	a, _, la := Start(path, newFakeHost(t), quiet)
+	b, _, lb := Start(path, newFakeHost(t), quiet)
 	defer la.Close()
 	defer lb.Close()
 	if a.TakeOver() == nil || b.TakeOver() != nil {
 		t.Error("two have taken over, or none")
 	}
-	lbtest.Until(t, "retired", s1.has(func() bool { return s1.retired }))
+	lbtest.Until(t, "retired", s1.locked(func() bool { return s1.retired }))
 	b.Close()
 	a.Close()
-	lbtest.Until(t, "resumed", s1.has(func() bool { return s1.resumed == 1 && !s1.retired }))
+	lbtest.Until(t, "resumed", s1.locked(func() bool { return s1.resumeCount == 1 && !s1.retired }))
 	if one.IsRetired() {
 		t.Error("still retired")
 	}
-	if _, err := one.ClaimKey(context.Background(), attempt("k", "north")); !errors.Is(err, ErrDisconnected) {
+	if _, err := one.ClaimKey(context.Background(), newClaim("k", "north")); !errors.Is(err, ErrDisconnected) {
 		t.Error(err)
 	}
-	if _, _, taken := next(t, path); taken == nil {
+	if _, _, taken := startSuccessor(t, path); taken == nil {
 		t.Error("nobody can take over any more")
 	}
 }
@@ -284,7 +284,7 @@
 	for name, path := range at {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSelf(t)
+			s := newFakeHost(t)
 			p, offer, listener := Start(path, s, quiet)
 			if offer != nil || listener != nil || !p.IsFirst() || p.TakeOver() != nil {
 				t.Error("something was handed over")
@@ -293,7 +293,7 @@
 				t.Fatal(err)
 			}
 			defer p.Close()
-			if _, _, taken := next(t, path); taken == nil {
+			if _, _, taken := startSuccessor(t, path); taken == nil {
 				t.Error("the next one can't take over")
 			}
 		})
@@ -302,7 +302,7 @@
 
 // TestDirectory uses a directory that cannot be written, and one whose path is longer than a socket's address may be.
 func TestDirectory(t *testing.T) {
-	p, _, _ := Start(Path(filepath.Join(t.TempDir(), "none"), "127.0.0.1:80"), newSelf(t), quiet)
+	p, _, _ := Start(Path(filepath.Join(t.TempDir(), "none"), "127.0.0.1:80"), newFakeHost(t), quiet)
 	if err := p.Listen(); err == nil {
 		t.Error("a socket where there is no directory")
 	}
@@ -312,11 +312,11 @@
 		t.Fatal(err)
 	}
 	path := Path(deep, "127.0.0.1:80")
-	first(t, path)
+	startFirstProcess(t, path)
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
-	next(t, path)
+	startSuccessor(t, path)
 }
 
 // TestHangingPredecessor stops a process after the hand-over: neither an ejection nor its end takes long.
--- a/internal/platform/handover/successor.go
+++ b/internal/platform/handover/successor.go
@@ -96,7 +96,7 @@
 	var s *session
 	s = newSession(conn, func(m *Message) *Message { return p.handleSuccessor(s, m) })
 	defer s.close()
-	if !p.greet(s) {
+	if !p.handleHello(s) {
 		return
 	}
 	_ = s.run() // any error means that it has disconnected
@@ -113,8 +113,8 @@
 	}
 }
 
-// greet answers the greeting of a process with an offer. It returns false if there is no session with it.
-func (p *Process) greet(s *session) bool {
+// handleHello answers the greeting of a process with an offer. It returns false if there is no session with it.
+func (p *Process) handleHello(s *session) bool {
 	_ = s.conn.SetReadDeadline(time.Now().Add(offerTimeout))
 	m, err := readFrame(s.conn)
 	if err != nil || m.Kind != Hello {
