--- a/internal/platform/handover/format_test.go
+++ b/internal/platform/handover/format_test.go
@@ -8,7 +8,7 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// TestMessageFormat encodes each message to the recorded bytes, and decodes these to the same message.
+// TestMessageFormat checks that each message is encoded to the recorded bytes, and that these decode to the same message.
 func TestMessageFormat(t *testing.T) {
 	for _, kind := range []Kind{Hello, TakeOver, Keys, ClaimKey, Eject, Rejection} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(framed[4:], compact.Bytes()) {
-				t.Errorf("framed as %s, want %s", framed[4:], compact.Bytes())
+				t.Errorf("message encoded as %s, want %s", framed[4:], compact.Bytes())
 			}
 			read, err := readFrame(bytes.NewReader(framed))
 			if err != nil {
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(again, framed) {
-				t.Errorf("framed again as %s, want %s", again, framed)
+				t.Errorf("decoded message encoded again as %s, want %s", again, framed)
 			}
 		})
 	}
--- a/internal/platform/handover/frame.go
+++ b/internal/platform/handover/frame.go
@@ -7,10 +7,10 @@
 	"io"
 )
 
-// headerBytes is the size of a frame's header, the length of the message.
+// headerBytes is the size of a frame's header, which holds the length of the message as a big-endian number.
 const headerBytes = 4
 
-// encodeFrame returns the bytes of a message: its length in four bytes, and JSON.
+// encodeFrame returns the frame of a message: its length in four bytes, followed by the message as JSON.
 func encodeFrame(m *Message) ([]byte, error) {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -34,7 +34,7 @@
 	if n > maxFrameBytes {
 		return nil, errFrameTooLarge
 	}
-	// The buffer grows as bytes arrive: a length alone takes no memory.
+	// The buffer grows as bytes arrive, so a large length in the header alone allocates no memory.
 	text, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
 		return nil, err
--- a/internal/platform/handover/handover_test.go
+++ b/internal/platform/handover/handover_test.go
@@ -22,17 +22,17 @@
 	"silvertrail/lbpolicy"
 )
 
-// fakeHost is a process's host in a test: a table of keys, ejections, and the calls it received.
+// fakeHost is a Host with a table of keys and a set of ejected endpoints. It counts the calls of Resume and PredecessorEnded.
 type fakeHost struct {
 	t        *testing.T
 	listener *net.TCPListener
 	keys     *idempotency.Table
 
-	mu      sync.Mutex
-	ejected    map[string]bool
-	retired bool
-	resumeCount int
-	predecessorEndedCount   int
+	mu                    sync.Mutex
+	ejected               map[string]bool
+	retired               bool
+	resumeCount           int
+	predecessorEndedCount int
 }
 
 func newFakeHost(t *testing.T) *fakeHost {
@@ -40,278 +40,282 @@
 	return &fakeHost{t: t, listener: lbtest.Listen(t).(*net.TCPListener), keys: idempotency.New(1 << 16), ejected: map[string]bool{}}
 }
 
-func (s *fakeHost) Offer() Offer {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	o := Offer{Listen: s.listener.Addr().String(), Endpoints: []endpointlist.Endpoint{{Name: "s", Address: "127.0.0.1:1", Zone: "a", Status: "ready"}}}
-	for id := range s.ejected {
-		o.Ejected = append(o.Ejected, id)
-	}
-	return o
+func (h *fakeHost) Offer() Offer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	offer := Offer{Listen: h.listener.Addr().String(), Endpoints: []endpointlist.Endpoint{{Name: "s", Address: "127.0.0.1:1", Zone: "a", Status: "ready"}}}
+	for id := range h.ejected {
+		offer.Ejected = append(offer.Ejected, id)
+	}
+	return offer
 }
 
-func (s *fakeHost) Listener() syscall.Conn { return s.listener }
+func (h *fakeHost) Listener() syscall.Conn { return h.listener }
 
-func (s *fakeHost) Retire() (keys []idempotency.Record, t State) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.retired = true
-	s.keys.Each(time.Now(), func(k idempotency.Record) bool { keys = append(keys, k); return true })
-	for id := range s.ejected {
-		t.Ejected = append(t.Ejected, id)
-	}
-	return keys, t
+func (h *fakeHost) Retire() (keys []idempotency.Record, state State) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.retired = true
+	h.keys.Each(time.Now(), func(k idempotency.Record) bool { keys = append(keys, k); return true })
+	for id := range h.ejected {
+		state.Ejected = append(state.Ejected, id)
+	}
+	return keys, state
 }
 
-func (s *fakeHost) Resume()           { s.mu.Lock(); defer s.mu.Unlock(); s.retired = false; s.resumeCount++ }
-func (s *fakeHost) PredecessorEnded() { s.mu.Lock(); defer s.mu.Unlock(); s.predecessorEndedCount++ }
+func (h *fakeHost) Resume()           { h.mu.Lock(); defer h.mu.Unlock(); h.retired = false; h.resumeCount++ }
+func (h *fakeHost) PredecessorEnded() { h.mu.Lock(); defer h.mu.Unlock(); h.predecessorEndedCount++ }
 
-func (s *fakeHost) AddKeys(keys []idempotency.Record) {
+func (h *fakeHost) AddKeys(keys []idempotency.Record) {
 	for _, k := range keys {
-		s.keys.Merge(time.Now(), k)
+		h.keys.Merge(time.Now(), k)
 	}
 }
 
-func (s *fakeHost) ClaimKey(a Claim) KeyState {
+func (h *fakeHost) ClaimKey(claim Claim) KeyState {
 	now := time.Now()
-	past := s.keys.KeyState(now, idempotency.KeyID(a.ID), a.Scope)
-	to := a.To.KeyState(now)
-	if !past.Known {
-		s.keys.Merge(now, idempotency.Record{ID: idempotency.KeyID(a.ID), KeyState: to, ExpiresAt: now.Add(a.ExpiresIn)})
-		past = to
+	state := h.keys.KeyState(now, idempotency.KeyID(claim.ID), claim.Scope)
+	claimed := claim.To.KeyState(now)
+	if !state.Known {
+		h.keys.Merge(now, idempotency.Record{ID: idempotency.KeyID(claim.ID), KeyState: claimed, ExpiresAt: now.Add(claim.ExpiresIn)})
+		state = claimed
 	}
-	return NewKeyState(now, past)
+	return NewKeyState(now, state)
 }
 
-func (s *fakeHost) SetEjected(id string, on bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if on {
-		s.ejected[id] = true
+func (h *fakeHost) SetEjected(id string, ejected bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if ejected {
+		h.ejected[id] = true
 	} else {
-		delete(s.ejected, id)
+		delete(h.ejected, id)
 	}
 }
 
-func (s *fakeHost) locked(f func() bool) func() bool {
-	return func() bool { s.mu.Lock(); defer s.mu.Unlock(); return f() }
+// locked returns a function that calls condition with h.mu locked.
+func (h *fakeHost) locked(condition func() bool) func() bool {
+	return func() bool { h.mu.Lock(); defer h.mu.Unlock(); return condition() }
 }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-// startFirstProcess starts a process without a predecessor, which listens for successors.
+// startFirstProcess starts a process that has no predecessor and listens for successors.
 func startFirstProcess(t *testing.T, path string) (*Process, *fakeHost) {
 	t.Helper()
-	s := newFakeHost(t)
-	p, offer, l := Start(path, s, quiet)
-	if offer != nil || l != nil || !p.IsFirst() {
-		t.Fatal("an offer of nobody")
+	host := newFakeHost(t)
+	p, offer, listener := Start(path, host, discardLogger)
+	if offer != nil || listener != nil || !p.IsFirst() {
+		t.Fatal("the first process received an offer although it has no predecessor")
 	}
 	if err := p.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	return p, s
+	return p, host
 }
 
-// startSuccessor starts a process that takes over.
+// startSuccessor starts a process that takes over from the process at path and listens for successors.
 func startSuccessor(t *testing.T, path string) (*Process, *fakeHost, *State) {
 	t.Helper()
-	s := newFakeHost(t)
-	p, offer, l := Start(path, s, quiet)
+	host := newFakeHost(t)
+	p, offer, listener := Start(path, host, discardLogger)
 	if offer == nil || p.IsFirst() {
-		t.Fatal("no offer")
+		t.Fatal("the successor received no offer")
 	}
-	t.Cleanup(func() { l.Close() })
-	s.listener = l.(*net.TCPListener)
-	taken := p.TakeOver()
-	if taken == nil {
-		t.Fatal("not taken")
+	t.Cleanup(func() { listener.Close() })
+	host.listener = listener.(*net.TCPListener)
+	state := p.TakeOver()
+	if state == nil {
+		t.Fatal("the successor could not take over: TakeOver returned no state")
 	}
 	if err := p.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	return p, s, taken
+	return p, host, state
 }
 
+// newClaim returns a claim of a key for an attempt in a zone.
 func newClaim(key, zone string) Claim {
 	return Claim{ID: KeyID(idempotency.KeyIDOf("t", key)), Scope: lbpolicy.ScopeZone, ExpiresIn: time.Minute, To: KeyState{Known: true, Zone: zone, RetryWindow: time.Minute}}
 }
 
-// TestChainOfProcesses has three processes replace each other: the socket, keys and ejections are passed on, and claims of the
-// first process are made at the last.
-func TestChainOfProcesses(t *testing.T) {
+// TestSuccessiveTakeoversKeepState has three processes replace each other. The socket, keys and ejections are passed on, and
+// claims of the first process are made at the last one.
+func TestSuccessiveTakeoversKeepState(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:80")
-	one, s1 := startFirstProcess(t, path)
-	s1.SetEjected("down", true)
-	for i := range 3*maxKeysPerMessage + 1 { // more than one message holds
-		s1.ClaimKey(newClaim(string(rune('a'+i%26))+strings.Repeat("x", i/26), "north"))
+	firstProcess, firstHost := startFirstProcess(t, path)
+	firstHost.SetEjected("down", true)
+	for i := range 3*maxKeysPerMessage + 1 { // more keys than one message holds
+		firstHost.ClaimKey(newClaim(string(rune('a'+i%26))+strings.Repeat("x", i/26), "north"))
 	}
-	two, s2, taken := startSuccessor(t, path)
-	if !slices.Equal(taken.Ejected, []string{"down"}) || taken.KeyCount != s1.keys.Len() || s2.keys.Len() != s1.keys.Len() {
-		t.Errorf("%d keys of %d, %+v", s2.keys.Len(), s1.keys.Len(), taken.Ejected)
+	secondProcess, secondHost, state := startSuccessor(t, path)
+	if !slices.Equal(state.Ejected, []string{"down"}) || state.KeyCount != firstHost.keys.Len() || secondHost.keys.Len() != firstHost.keys.Len() {
+		t.Errorf("the successor has %d keys, the predecessor has %d; ejected endpoints: %+v, want [down]", secondHost.keys.Len(), firstHost.keys.Len(), state.Ejected)
 	}
-	if !one.IsRetired() || two.IsRetired() {
-		t.Error("who has retired?")
+	if !firstProcess.IsRetired() || secondProcess.IsRetired() {
+		t.Error("want the first process retired and the second one not")
 	}
-	three, s3, _ := startSuccessor(t, path)
+	thirdProcess, thirdHost, _ := startSuccessor(t, path)
 
-	// The socket is one: what connects at the first one's address is accepted by the last.
-	c, err := net.Dial("tcp", s1.listener.Addr().String())
+	// The processes share one listening socket: a client that connects to the first process's address is accepted by the last.
+	client, err := net.Dial("tcp", firstHost.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if in, err := s3.listener.Accept(); err != nil || in.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Errorf("%v %v", in, err)
+	defer client.Close()
+	if accepted, err := thirdHost.listener.Accept(); err != nil || accepted.RemoteAddr().String() != client.LocalAddr().String() {
+		t.Errorf("the last process accepted %v, want the client's connection; error: %v", accepted, err)
 	}
 
-	// A key that the last one has bound is known to the first, through the second.
-	if p := s3.ClaimKey(newClaim("new", "south")); p.Zone != "south" {
-		t.Fatal(p)
+	// The first process learns the state of a key that the last one has claimed, through the second.
+	if state := thirdHost.ClaimKey(newClaim("new", "south")); state.Zone != "south" {
+		t.Fatal(state)
 	}
-	p, err := one.ClaimKey(context.Background(), newClaim("new", "north"))
-	if err != nil || p.Zone != "south" {
-		t.Errorf("%+v %v", p, err)
+	keyState, err := firstProcess.ClaimKey(context.Background(), newClaim("new", "north"))
+	if err != nil || keyState.Zone != "south" {
+		t.Errorf("claim of a key of the last process: state %+v, want zone south; error: %v", keyState, err)
 	}
-	if p, err = one.ClaimKey(context.Background(), newClaim("other", "north")); err != nil || p.Zone != "north" {
-		t.Errorf("%+v %v", p, err)
+	if keyState, err = firstProcess.ClaimKey(context.Background(), newClaim("other", "north")); err != nil || keyState.Zone != "north" {
+		t.Errorf("claim of an unclaimed key: state %+v, want zone north; error: %v", keyState, err)
 	}
-	if !s3.keys.KeyState(time.Now(), idempotency.KeyIDOf("t", "other"), lbpolicy.ScopeZone).Known {
-		t.Error("the last one does not know what the first binds")
+	if !thirdHost.keys.KeyState(time.Now(), idempotency.KeyIDOf("t", "other"), lbpolicy.ScopeZone).Known {
+		t.Error("the last process does not know the key that the first one claimed")
 	}
 
-	// Bans pass both ways, over the one between.
-	three.NotifyEjection(context.Background(), "by three", true)
-	one.NotifyEjection(context.Background(), "by one", true)
-	for _, s := range []*fakeHost{s1, s2} {
-		lbtest.Until(t, "a ban said at the last", s.locked(func() bool { return s.ejected["by three"] }))
+	// Ejections are passed on in both directions, through the second process.
+	thirdProcess.NotifyEjection(context.Background(), "by three", true)
+	firstProcess.NotifyEjection(context.Background(), "by one", true)
+	for _, host := range []*fakeHost{firstHost, secondHost} {
+		lbtest.Until(t, "the ejection made at the last process is applied", host.locked(func() bool { return host.ejected["by three"] }))
 	}
-	for _, s := range []*fakeHost{s2, s3} {
-		lbtest.Until(t, "a ban said at the first", s.locked(func() bool { return s.ejected["by one"] }))
+	for _, host := range []*fakeHost{secondHost, thirdHost} {
+		lbtest.Until(t, "the ejection made at the first process is applied", host.locked(func() bool { return host.ejected["by one"] }))
 	}
 
-	one.Close()
-	lbtest.Until(t, "the second is alone before the third", s2.locked(func() bool { return s2.predecessorEndedCount == 1 }))
-	two.Close()
-	lbtest.Until(t, "the third is alone", s3.locked(func() bool { return s3.predecessorEndedCount == 1 }))
+	firstProcess.Close()
+	lbtest.Until(t, "the second process notices the end of the first", secondHost.locked(func() bool { return secondHost.predecessorEndedCount == 1 }))
+	secondProcess.Close()
+	lbtest.Until(t, "the third process notices the end of the second", thirdHost.locked(func() bool { return thirdHost.predecessorEndedCount == 1 }))
 	if _, err := os.Stat(path); err != nil {
-		t.Error("the last one's socket has gone with the others")
+		t.Error("the socket of the last process was removed when its predecessors ended")
 	}
-	if s1.resumeCount+s2.resumeCount > 0 {
-		t.Error("one that has ended takes clients")
+	if firstHost.resumeCount+secondHost.resumeCount > 0 {
+		t.Error("a process that has ended accepts clients again")
 	}
-	three.Close()
+	thirdProcess.Close()
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
 		t.Error(err)
 	}
 }
 
-// TestSuccessorDisconnects has a successor end before it takes over (nothing changes) and after (the first process accepts
-// clients again). While one has taken over another is rejected.
-func TestSuccessorDisconnects(t *testing.T) {
+// TestPredecessorResumesAfterSuccessorDisconnects has a successor end before it takes over, which changes nothing, and after,
+// which makes the first process accept clients again. While one successor has taken over, another is rejected.
+func TestPredecessorResumesAfterSuccessorDisconnects(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:80")
-	one, s1 := startFirstProcess(t, path)
+	firstProcess, firstHost := startFirstProcess(t, path)
 	for range 3 {
-		p, offer, l := Start(path, newFakeHost(t), quiet)
+		p, offer, listener := Start(path, newFakeHost(t), discardLogger)
 		if offer == nil {
-			t.Fatal("no offer")
+			t.Fatal("the successor received no offer")
 		}
-		l.Close()
+		listener.Close()
 		p.Close()
 	}
-	a, _, la := Start(path, newFakeHost(t), quiet)
-	b, _, lb := Start(path, newFakeHost(t), quiet)
-	defer la.Close()
-	defer lb.Close()
-	if a.TakeOver() == nil || b.TakeOver() != nil {
-		t.Error("two have taken over, or none")
-	}
-	lbtest.Until(t, "retired", s1.locked(func() bool { return s1.retired }))
-	b.Close()
-	a.Close()
-	lbtest.Until(t, "resumed", s1.locked(func() bool { return s1.resumeCount == 1 && !s1.retired }))
-	if one.IsRetired() {
-		t.Error("still retired")
-	}
-	if _, err := one.ClaimKey(context.Background(), newClaim("k", "north")); !errors.Is(err, ErrDisconnected) {
+	successor, _, listener := Start(path, newFakeHost(t), discardLogger)
+	rejected, _, rejectedListener := Start(path, newFakeHost(t), discardLogger)
+	defer listener.Close()
+	defer rejectedListener.Close()
+	if successor.TakeOver() == nil || rejected.TakeOver() != nil {
+		t.Error("want the first of two successors to take over, and the second to be rejected")
+	}
+	lbtest.Until(t, "the first process retires", firstHost.locked(func() bool { return firstHost.retired }))
+	rejected.Close()
+	successor.Close()
+	lbtest.Until(t, "the first process accepts clients again", firstHost.locked(func() bool { return firstHost.resumeCount == 1 && !firstHost.retired }))
+	if firstProcess.IsRetired() {
+		t.Error("the first process is still retired after its successor has disconnected")
+	}
+	if _, err := firstProcess.ClaimKey(context.Background(), newClaim("k", "north")); !errors.Is(err, ErrDisconnected) {
 		t.Error(err)
 	}
-	if _, _, taken := startSuccessor(t, path); taken == nil {
-		t.Error("nobody can take over any more")
+	if _, _, state := startSuccessor(t, path); state == nil {
+		t.Error("no process can take over after a successor has disconnected")
 	}
 }
 
-// TestNoOffer starts beside a file without a listener, one that is no socket, and peers that are silent, have another version
-// or send noise: the process starts without an offer.
-func TestNoOffer(t *testing.T) {
+// TestStartsWithoutOfferOfUnusablePredecessor starts a process where the predecessor's socket is missing, has no listener or
+// is no socket. It also uses predecessors that do not answer, have another version, send no socket, reject the process, or
+// send random or truncated data. Each time the process starts without an offer and can be replaced later.
+func TestStartsWithoutOfferOfUnusablePredecessor(t *testing.T) {
 	dir := t.TempDir()
-	stale := filepath.Join(dir, "stale")
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: stale, Net: "unix"})
+	stalePath := filepath.Join(dir, "stale")
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: stalePath, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.SetUnlinkOnClose(false)
-	l.Close()
-	plain := filepath.Join(dir, "plain")
-	if err := os.WriteFile(plain, nil, 0o600); err != nil {
+	listener.SetUnlinkOnClose(false)
+	listener.Close()
+	regularFile := filepath.Join(dir, "plain")
+	if err := os.WriteFile(regularFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	newer, _ := encodeFrame(&Message{Kind: Hello, IsResponse: true, Version: Version + 1, Seq: 1, Offer: &Offer{Listen: "127.0.0.1:1"}})
-	bare, _ := encodeFrame(&Message{Kind: Hello, IsResponse: true, Version: Version, Seq: 1, Offer: &Offer{Listen: "127.0.0.1:1"}})
-	refused, _ := encodeFrame(&Message{Kind: Rejection, IsResponse: true, Seq: 1, Reason: "another version"})
-	at := map[string]string{"stale": stale, "plain": plain, "none": filepath.Join(dir, "none")}
-	for name, says := range map[string][]byte{"hung": nil, "newer": newer, "no socket with it": bare, "refused": refused,
-		"noise": bytes.Repeat([]byte{0xff}, 64), "half": newer[:len(newer)/2]} {
-		at[name] = filepath.Join(dir, strings.ReplaceAll(name, " ", "-"))
-		l, err := net.Listen("unix", at[name])
+	newerVersion, _ := encodeFrame(&Message{Kind: Hello, IsResponse: true, Version: Version + 1, Seq: 1, Offer: &Offer{Listen: "127.0.0.1:1"}})
+	withoutSocket, _ := encodeFrame(&Message{Kind: Hello, IsResponse: true, Version: Version, Seq: 1, Offer: &Offer{Listen: "127.0.0.1:1"}})
+	rejection, _ := encodeFrame(&Message{Kind: Rejection, IsResponse: true, Seq: 1, Reason: "another version"})
+	paths := map[string]string{"stale": stalePath, "plain": regularFile, "none": filepath.Join(dir, "none")}
+	for name, response := range map[string][]byte{"hung": nil, "newer": newerVersion, "no socket with it": withoutSocket, "refused": rejection,
+		"noise": bytes.Repeat([]byte{0xff}, 64), "half": newerVersion[:len(newerVersion)/2]} {
+		paths[name] = filepath.Join(dir, strings.ReplaceAll(name, " ", "-"))
+		listener, err := net.Listen("unix", paths[name])
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer listener.Close()
 		go func() {
 			for {
-				c, err := l.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				defer c.Close()
-				c.Write(says)
+				defer conn.Close()
+				conn.Write(response)
 			}
 		}()
 	}
-	for name, path := range at {
+	for name, path := range paths {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newFakeHost(t)
-			p, offer, listener := Start(path, s, quiet)
+			host := newFakeHost(t)
+			p, offer, listener := Start(path, host, discardLogger)
 			if offer != nil || listener != nil || !p.IsFirst() || p.TakeOver() != nil {
-				t.Error("something was handed over")
+				t.Error("want no offer, no listener and no state without a usable predecessor")
 			}
-			if err := p.Listen(); err != nil { // it takes the path
+			if err := p.Listen(); err != nil { // replaces the socket or file at path
 				t.Fatal(err)
 			}
 			defer p.Close()
-			if _, _, taken := startSuccessor(t, path); taken == nil {
-				t.Error("the next one can't take over")
+			if _, _, state := startSuccessor(t, path); state == nil {
+				t.Error("a successor cannot take over from the process that started without an offer")
 			}
 		})
 	}
 }
 
-// TestDirectory uses a directory that cannot be written, and one whose path is longer than a socket's address may be.
-func TestDirectory(t *testing.T) {
-	p, _, _ := Start(Path(filepath.Join(t.TempDir(), "none"), "127.0.0.1:80"), newFakeHost(t), quiet)
+// TestListenInMissingOrLongDirectory checks that Listen fails in a directory that does not exist. It also checks that a
+// process can be replaced in a directory whose path is longer than the address of a Unix socket may be.
+func TestListenInMissingOrLongDirectory(t *testing.T) {
+	p, _, _ := Start(Path(filepath.Join(t.TempDir(), "none"), "127.0.0.1:80"), newFakeHost(t), discardLogger)
 	if err := p.Listen(); err == nil {
-		t.Error("a socket where there is no directory")
+		t.Error("Listen succeeded in a directory that does not exist")
 	}
 	p.Close()
-	deep := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
-	if err := os.Mkdir(deep, 0o700); err != nil {
+	longDirectory := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
+	if err := os.Mkdir(longDirectory, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	path := Path(deep, "127.0.0.1:80")
+	path := Path(longDirectory, "127.0.0.1:80")
 	startFirstProcess(t, path)
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
@@ -319,44 +323,47 @@
 	startSuccessor(t, path)
 }
 
-// TestHangingPredecessor stops a process after the hand-over: neither an ejection nor its end takes long.
-func TestHangingPredecessor(t *testing.T) {
-	a, b := socketPair(t)
-	l := newSession(a, func(*Message) *Message { return nil })
-	go l.run()
+// TestCallToHangingProcessEnds calls a process that does not respond. The call ends when its context is canceled, and a call
+// after the process has disconnected fails.
+func TestCallToHangingProcessEnds(t *testing.T) {
+	conn, peer := socketPair(t)
+	s := newSession(conn, func(*Message) *Message { return nil })
+	go s.run()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := l.call(ctx, &Message{Kind: Eject, Ejection: &Ejection{"s", true}}); !errors.Is(err, context.Canceled) {
+	if _, err := s.call(ctx, &Message{Kind: Eject, Ejection: &Ejection{"s", true}}); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
-	b.Close()
-	<-l.closed
-	if _, err := l.call(context.Background(), &Message{Kind: Eject, Ejection: &Ejection{"s", true}}); err == nil {
-		t.Error("a call to nobody")
+	peer.Close()
+	<-s.closed
+	if _, err := s.call(context.Background(), &Message{Kind: Eject, Ejection: &Ejection{"s", true}}); err == nil {
+		t.Error("a call succeeded after the other process had disconnected")
 	}
 }
 
+// socketPair returns both ends of a Unix socket connection.
 func socketPair(t *testing.T) (*net.UnixConn, *net.UnixConn) {
 	t.Helper()
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out [2]*net.UnixConn
+	var conns [2]*net.UnixConn
 	for i, fd := range fds {
-		f := os.NewFile(uintptr(fd), "pair")
-		c, err := net.FileConn(f)
+		file := os.NewFile(uintptr(fd), "pair")
+		conn, err := net.FileConn(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Close()
-		t.Cleanup(func() { c.Close() })
-		out[i] = c.(*net.UnixConn)
+		file.Close()
+		t.Cleanup(func() { conn.Close() })
+		conns[i] = conn.(*net.UnixConn)
 	}
-	return out[0], out[1]
+	return conns[0], conns[1]
 }
 
-// FuzzRead decodes any bytes: they are rejected, or encode to the same message again.
+// FuzzRead decodes arbitrary bytes. They are rejected, or the decoded message encodes to a frame that decodes to the same
+// message again. A truncated frame is rejected.
 func FuzzRead(f *testing.F) {
 	for _, m := range []*Message{{Kind: Hello, Version: 1, Seq: 1}, {Kind: TakeOver, Seq: 2}, {Kind: Eject, Ejection: &Ejection{"s", true}},
 		{Kind: ClaimKey, Claim: &Claim{To: KeyState{Known: true, Zone: "a", RetryWindow: 5}}}, {Kind: Keys, Keys: []KeyRecord{{ExpiresIn: 3}}}, {Kind: Rejection, IsResponse: true, Reason: "x"}} {
@@ -376,16 +383,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := readFrame(bytes.NewReader(again))
+		decoded, err := readFrame(bytes.NewReader(again))
 		if err != nil {
-			t.Fatalf("%+v went out and did not come back: %v", m, err)
+			t.Fatalf("%+v was encoded to a frame that cannot be decoded: %v", m, err)
 		}
-		third, err := encodeFrame(n)
-		if err != nil || !bytes.Equal(again, third) {
-			t.Fatalf("%s and then %s", again, third)
+		reencoded, err := encodeFrame(decoded)
+		if err != nil || !bytes.Equal(again, reencoded) {
+			t.Fatalf("encoded as %s, and as %s after decoding", again, reencoded)
 		}
 		if _, err := readFrame(io.LimitReader(bytes.NewReader(again), int64(len(again)-1))); err == nil {
-			t.Fatal("a message that is cut off was taken")
+			t.Fatal("a truncated message was accepted")
 		}
 	})
 }
--- a/internal/platform/handover/message.go
+++ b/internal/platform/handover/message.go
@@ -1,8 +1,9 @@
-// Package handover lets a process replace another one beside it without losing requests: the successor takes over the
-// listening socket, so that no connection in its queue is lost, and the state that later decisions need. The processes
-// exchange messages over a Unix socket in a directory that they share.
+// Package handover lets a new process replace a running one on the same machine without losing requests. The successor
+// takes over the listening socket, so that no connection in the accept queue is lost. It also takes over the state that its
+// routing decisions need. The processes exchange messages over a Unix socket in a directory that they share.
 //
-// A Process owns the sessions with its predecessor and its successor; one goroutine reads each, and one accepts successors.
+// A Process owns the sessions with its predecessor and its successor. One goroutine reads each session, and one goroutine
+// accepts connections of successors.
 package handover
 
 import (
@@ -17,38 +18,38 @@
 	"silvertrail/lbpolicy"
 )
 
-// Version is the version of the messages. A process of another version hands nothing over.
+// Version is the version of the messages. Processes with different versions hand nothing over.
 const Version = 1
 
-// maxFrameBytes bounds a message: a list of 10,000 endpoints, or maxKeysPerMessage keys.
+// maxFrameBytes bounds the size of a message. It has room for a list of 10,000 endpoints, or for maxKeysPerMessage keys.
 const maxFrameBytes = 4 << 20
 
-// maxKeysPerMessage bounds the keys in one message.
+// maxKeysPerMessage bounds the number of keys in one message.
 const maxKeysPerMessage = 2048
 
 var (
-	errVersion       = errors.New("handover: the other process has another version")
+	errVersion       = errors.New("handover: the other process uses another message version")
 	errFrameTooLarge = fmt.Errorf("handover: a message of over %d bytes", maxFrameBytes)
 )
 
 // Kind is the kind of a message.
 type Kind string
 
-// The kinds. The response to a request is of the same kind, or a Rejection.
+// The kinds of messages. The response to a request has the kind of the request, or is a Rejection.
 const (
-	Hello     Kind = "hello" // the successor greets; the response is the offer, with the listening socket
-	TakeOver  Kind = "take"  // the successor accepts clients from now on; the response is the state at that moment
-	Keys      Kind = "keys"  // key states, in several messages; no response
+	Hello     Kind = "hello" // the successor opens the session; the response is the offer, with the listening socket
+	TakeOver  Kind = "take"  // the successor accepts clients from now on; the response is the predecessor's state at that moment
+	Keys      Kind = "keys"  // key states, split into several messages; they have no response
 	ClaimKey  Kind = "bind"  // the predecessor claims a key for an attempt; the response is the key's state
-	Eject     Kind = "ban"   // an operator has ejected an endpoint, or ended its ejection, at either process
+	Eject     Kind = "ban"   // an operator has ejected an endpoint, or ended its ejection, at the sending process
 	Rejection Kind = "no"    // the request was rejected
 )
 
-// Message is a message of either process.
+// Message is a message that either process may send.
 type Message struct {
 	Kind       Kind   `json:"kind"`
 	Version    int    `json:"version,omitempty"`
-	Seq        uint64 `json:"seq,omitempty"` // of a request; its response has the same
+	Seq        uint64 `json:"seq,omitempty"` // sequence number of a request, repeated in its response
 	IsResponse bool   `json:"answer,omitempty"`
 	Reason     string `json:"why,omitempty"`
 
@@ -69,27 +70,28 @@
 	Policy       engine.Snapshot         `json:"carried"`
 }
 
-// State is the predecessor's state when it has stopped accepting clients.
+// State is the state of the predecessor at the moment at which it stopped accepting clients.
 type State struct {
 	Ejected    []string        `json:"bans"`
 	RequestIDs RequestIDs      `json:"ids"`
 	Policy     engine.Snapshot `json:"carried"`
-	KeyCount   int             `json:"keys"` // that were sent before this message
+	KeyCount   int             `json:"keys"` // number of keys sent before this message
 }
 
-// RequestIDs are those of requests in flight and ended lately, as hashes with their secret.
+// RequestIDs holds the IDs of requests that are in flight or ended recently, as hashes, and the secret key of the hashes.
 type RequestIDs struct {
 	Key    []byte   `json:"key"`
 	Hashes []uint64 `json:"hashes"`
 }
 
-// Ejection is a manual ejection of an endpoint, or its end.
+// Ejection is the manual ejection of an endpoint, or the end of that ejection.
 type Ejection struct {
 	Endpoint string `json:"id"`
 	Ejected  bool   `json:"on"`
 }
 
-// KeyState is what is known of a key's attempts. Times are relative, as the processes' monotonic clocks differ.
+// KeyState describes the recorded attempts of an idempotency key. Times are relative, because the monotonic clocks of the
+// processes differ.
 type KeyState struct {
 	Known         bool          `json:"known"`
 	Cluster       string        `json:"cluster,omitempty"`
@@ -99,23 +101,23 @@
 	RetryWindow   time.Duration `json:"until,omitempty"`
 }
 
-// NewKeyState returns a key state in the form of a message.
-func NewKeyState(now time.Time, p idempotency.KeyState) KeyState {
-	if !p.Known {
+// NewKeyState converts a key state of the key table to its form in messages.
+func NewKeyState(now time.Time, state idempotency.KeyState) KeyState {
+	if !state.Known {
 		return KeyState{}
 	}
-	return KeyState{true, p.Place.Cluster, p.Place.Zone, p.Place.Cell, p.SeveralGroups, p.RetryUntil.Sub(now)}
+	return KeyState{true, state.Place.Cluster, state.Place.Zone, state.Place.Cell, state.SeveralGroups, state.RetryUntil.Sub(now)}
 }
 
-// KeyState returns the key state in the form of the key table.
-func (p KeyState) KeyState(now time.Time) idempotency.KeyState {
-	if !p.Known {
+// KeyState converts the key state to its form in the key table.
+func (s KeyState) KeyState(now time.Time) idempotency.KeyState {
+	if !s.Known {
 		return idempotency.KeyState{}
 	}
-	return idempotency.KeyState{Known: true, Place: idempotency.Place{Cluster: p.Cluster, Zone: p.Zone, Cell: p.Cell}, SeveralGroups: p.SeveralGroups, RetryUntil: now.Add(p.RetryWindow)}
+	return idempotency.KeyState{Known: true, Place: idempotency.Place{Cluster: s.Cluster, Zone: s.Zone, Cell: s.Cell}, SeveralGroups: s.SeveralGroups, RetryUntil: now.Add(s.RetryWindow)}
 }
 
-// KeyID is a key's ID, encoded in hexadecimal digits.
+// KeyID is the ID of an idempotency key. Messages hold it in hexadecimal digits.
 type KeyID idempotency.KeyID
 
 // MarshalText implements encoding.TextMarshaler.
@@ -124,13 +126,13 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (id *KeyID) UnmarshalText(text []byte) error {
 	if len(text) != 2*len(id) {
-		return errors.New("handover: key ID of another length")
+		return errors.New("handover: key ID has the wrong length")
 	}
 	_, err := hex.Decode(id[:], text)
 	return err
 }
 
-// KeyRecord is a key with its state.
+// KeyRecord is an idempotency key with its state.
 type KeyRecord struct {
 	ID           KeyID         `json:"id"`
 	State        KeyState      `json:"past"`
@@ -139,25 +141,25 @@
 	ExpiresIn    time.Duration `json:"expire"`
 }
 
-// NewKeyRecord returns a record of the key table in the form of a message.
+// NewKeyRecord converts a record of the key table to its form in messages.
 func NewKeyRecord(now time.Time, k idempotency.Record) KeyRecord {
 	return KeyRecord{KeyID(k.ID), NewKeyState(now, k.KeyState), k.SeveralZones, k.SeveralCells, k.ExpiresAt.Sub(now)}
 }
 
-// Record returns the record in the form of the key table.
+// Record converts the record to its form in the key table.
 func (k KeyRecord) Record(now time.Time) idempotency.Record {
 	return idempotency.Record{ID: idempotency.KeyID(k.ID), KeyState: k.State.KeyState(now), SeveralZones: k.SeveralZones, SeveralCells: k.SeveralCells, ExpiresAt: now.Add(k.ExpiresIn)}
 }
 
-// Claim is a claim of a key for an attempt that is about to be sent.
+// Claim claims an idempotency key for an attempt that is about to be sent.
 type Claim struct {
 	ID        KeyID          `json:"id"`
-	To        KeyState       `json:"to"` // the place, with the time for which further attempts may be decided on
+	To        KeyState       `json:"to"` // the destination of the attempt, and the time within which further attempts may be decided
 	Scope     lbpolicy.Scope `json:"scope"`
 	ExpiresIn time.Duration  `json:"expire"`
 }
 
-// validate rejects what no process of this version sends.
+// validate rejects messages that no process of this version sends.
 func (m *Message) validate() error {
 	ok := false
 	switch m.Kind {
--- a/internal/platform/handover/predecessor.go
+++ b/internal/platform/handover/predecessor.go
@@ -13,9 +13,10 @@
 	"silvertrail/internal/balancer/idempotency"
 )
 
-// Start asks the predecessor, if there is one, for its offer and its listening socket. Without one, or without an offer in
-// time, both are nil. Path is where the predecessor listens and where this process will.
-func Start(path string, host Host, log *slog.Logger) (p *Process, o *Offer, l net.Listener) {
+// Start asks the predecessor for its offer and its listening socket. Both are nil if there is no predecessor, or if it makes
+// no offer within offerTimeout. The path names the Unix socket on which the predecessor listens and on which this process
+// will listen.
+func Start(path string, host Host, log *slog.Logger) (p *Process, offer *Offer, listener net.Listener) {
 	p = &Process{host: host, log: log, path: path, first: true}
 	conn, err := dial(path)
 	if err != nil {
@@ -26,7 +27,7 @@
 		return p, nil, nil
 	}
 	predecessor := newSession(conn, p.handlePredecessor)
-	o, l, err = requestOffer(predecessor)
+	offer, listener, err = requestOffer(predecessor)
 	if err != nil {
 		predecessor.close()
 		log.Warn("predecessor makes no offer", "component", "handover", "error", err)
@@ -34,12 +35,12 @@
 	}
 	p.predecessor, p.first = predecessor, false
 	go p.runPredecessor(predecessor)
-	return p, o, l
+	return p, offer, listener
 }
 
-// runPredecessor handles the predecessor's messages until it ends.
+// runPredecessor handles the predecessor's messages until the connection ends.
 func (p *Process) runPredecessor(s *session) {
-	_ = s.run() // any error means that it has ended
+	_ = s.run() // any error means that the predecessor has ended
 	p.mu.Lock()
 	p.predecessor = nil
 	closed := p.closed
@@ -49,7 +50,7 @@
 	}
 }
 
-// requestOffer greets the predecessor and receives its offer and listening socket.
+// requestOffer sends Hello to the predecessor and receives its offer and listening socket.
 func requestOffer(s *session) (*Offer, net.Listener, error) {
 	_ = s.conn.SetDeadline(time.Now().Add(offerTimeout))
 	defer func() { _ = s.conn.SetDeadline(time.Time{}) }()
@@ -68,7 +69,7 @@
 	case m.Kind != Hello || m.Version != Version:
 		return nil, nil, errVersion
 	case len(reader.fds) != 1:
-		return nil, nil, fmt.Errorf("handover: %d sockets, expected one", len(reader.fds))
+		return nil, nil, fmt.Errorf("handover: received %d sockets, expected one", len(reader.fds))
 	}
 	listener, err := listenerOf(reader)
 	if err != nil {
@@ -76,12 +77,12 @@
 	}
 	if address := listener.Addr().String(); address != m.Offer.Listen {
 		_ = listener.Close()
-		return nil, nil, fmt.Errorf("handover: a socket at %s, expected %s", address, m.Offer.Listen)
+		return nil, nil, fmt.Errorf("handover: received a socket at %s, expected %s", address, m.Offer.Listen)
 	}
 	return m.Offer, listener, nil
 }
 
-// listenerOf returns the listener of the one descriptor that was received.
+// listenerOf returns a listener on the only file descriptor that reader has received, and closes that descriptor.
 func listenerOf(reader *descriptorReader) (net.Listener, error) {
 	file := os.NewFile(uintptr(reader.fds[0]), "listener")
 	reader.fds = nil
@@ -93,8 +94,9 @@
 	return listener, nil
 }
 
-// TakeOver has the predecessor stop accepting clients, and returns its state at that moment. If it does not answer, this
-// process goes on with the offer. It must be called just before clients are accepted here.
+// TakeOver has the predecessor stop accepting clients, and returns the predecessor's state at that moment. It returns nil if
+// there is no predecessor or no response in time; this process then continues with the state of the offer. Call TakeOver
+// just before this process accepts clients.
 func (p *Process) TakeOver() *State {
 	predecessor := p.currentPredecessor()
 	if predecessor == nil {
@@ -110,7 +112,7 @@
 	return response.State
 }
 
-// handlePredecessor returns the response to a request of the predecessor.
+// handlePredecessor handles a message of the predecessor and returns the response. Keys messages have none.
 func (p *Process) handlePredecessor(m *Message) *Message {
 	switch m.Kind {
 	case Keys:
@@ -135,7 +137,8 @@
 	return &Message{Kind: Rejection, Reason: "unexpected request"}
 }
 
-// claimKey claims a key for an attempt of the predecessor: here, or at a successor that has taken over meanwhile.
+// claimKey claims a key for an attempt of the predecessor. The claim is made at the successor if one has taken over, and at
+// this process otherwise.
 func (p *Process) claimKey(c Claim) (KeyState, error) {
 	p.claimMu.RLock()
 	defer p.claimMu.RUnlock()
--- a/internal/platform/handover/process.go
+++ b/internal/platform/handover/process.go
@@ -16,53 +16,55 @@
 )
 
 const (
-	offerTimeout    = 1500 * time.Millisecond // a process that is stopped or hangs makes no offer
+	offerTimeout    = 1500 * time.Millisecond // bounds the wait for a process that is stopped or hangs
 	takeOverTimeout = time.Second
-	claimTimeout    = time.Second            // the request's own deadline is mostly sooner
-	ejectTimeout    = 600 * time.Millisecond // operators wait for 1 s
+	claimTimeout    = time.Second            // the request's own deadline is usually earlier
+	ejectTimeout    = 600 * time.Millisecond // shorter than the 1 s for which operators wait
 )
 
-// Host is what the other processes of an upgrade need of this one.
+// Host is implemented by this process for the calls of the other processes of an upgrade.
 type Host interface {
 	// Offer returns the state that a successor starts with.
 	Offer() Offer
 	// Listener returns the clients' listening socket.
 	Listener() syscall.Conn
-	// Retire stops accepting clients. After its return no attempt with a key begins without a ClaimKey of the successor. It
-	// returns the state at that moment.
+	// Retire stops accepting clients and returns the key states and the other state at that moment. After Retire has returned,
+	// no attempt with an idempotency key begins before the successor has answered a ClaimKey request for it.
 	Retire() ([]idempotency.Record, State)
-	// Resume accepts clients again, as the successor has disconnected.
+	// Resume accepts clients again. It is called when the successor has disconnected.
 	Resume()
 	// AddKeys adds the key states of another process.
 	AddKeys([]idempotency.Record)
-	// ClaimKey records an attempt that another process is about to make, if the key's state allows it, and returns that state.
+	// ClaimKey records an attempt that another process is about to make, if the state of its key allows the attempt. It
+	// returns the key's state.
 	ClaimKey(Claim) KeyState
-	// SetEjected applies an operator's call that another process received.
+	// SetEjected applies a manual ejection, or the end of one, that an operator requested at another process.
 	SetEjected(id string, ejected bool)
 	// PredecessorEnded is called when the predecessor has ended.
 	PredecessorEnded()
 }
 
-// Process is this process among those of an upgrade: there may be a predecessor that ends, and a successor that has taken
-// over. Its methods may be called from any goroutine.
+// Process is this process's part in an upgrade. There may be a predecessor that is draining, and a successor that has taken
+// over. The methods may be called from any goroutine.
 type Process struct {
 	host Host
 	log  *slog.Logger
 	path string
 
-	// claimMu is read-locked while a key is claimed here, and locked while a successor takes over: keys claimed before are
-	// among those that it is sent, later ones are claimed there.
+	// claimMu is read-locked while a key is claimed at this process, and write-locked while a successor takes over. Keys
+	// claimed before the takeover are therefore sent to the successor, and later keys are claimed at the successor.
 	claimMu sync.RWMutex
 
 	mu          sync.Mutex
-	listener    *net.UnixListener // nil: Listen was not called
-	predecessor *session          // nil: there is none
-	successor   *session          // has taken over; nil: none has
+	listener    *net.UnixListener // nil: Listen has not been called
+	predecessor *session          // nil: there is no predecessor
+	successor   *session          // the process that has taken over; nil: none has
 	closed      bool
-	first       bool
+	first       bool // no predecessor has made an offer
 }
 
-// Path returns the socket's path for a clients' address, in a directory that only processes that replace each other share.
+// Path returns the path of the Unix socket for the address on which clients are accepted. Only processes that replace each
+// other may share the directory.
 func Path(dir, listen string) string {
 	sum := sha256.Sum256([]byte(listen))
 	return filepath.Join(dir, "silvertrail-"+hex.EncodeToString(sum[:6])+".sock")
@@ -92,8 +94,8 @@
 	return p.predecessor
 }
 
-// NotifyEjection notifies the other processes of an operator's call. One that does not answer in time is logged: it has
-// ended, or sends no requests that the ejection concerns.
+// NotifyEjection notifies the predecessor and the successor of a manual ejection or its end. A missing confirmation is only
+// logged: a process that does not answer in time has ended, or sends no requests that the ejection concerns.
 func (p *Process) NotifyEjection(ctx context.Context, id string, ejected bool) {
 	p.mu.Lock()
 	predecessor, successor := p.predecessor, p.successor
@@ -102,7 +104,7 @@
 	p.notify(ctx, successor, Ejection{id, ejected})
 }
 
-// notify notifies one process, unless the session is nil.
+// notify notifies one process of an ejection. A nil session is ignored.
 func (p *Process) notify(ctx context.Context, s *session, e Ejection) {
 	if s == nil {
 		return
@@ -122,7 +124,7 @@
 	p.mu.Unlock()
 	if listener != nil {
 		if successor == nil {
-			_ = os.Remove(p.path) // a file that stays is replaced by the next process
+			_ = os.Remove(p.path) // the next process replaces a file that could not be removed
 		}
 		_ = listener.Close()
 	}
--- a/internal/platform/handover/session.go
+++ b/internal/platform/handover/session.go
@@ -11,23 +11,23 @@
 
 const (
 	writeTimeout          = time.Second
-	maxConcurrentMessages = 64 // requests of the other side that are handled at once
+	maxConcurrentMessages = 64 // requests of the other process that are handled concurrently
 )
 
-// ErrDisconnected says that the other process has disconnected.
+// ErrDisconnected is returned when the other process has disconnected.
 var ErrDisconnected = errors.New("handover: the other process has disconnected")
 
-// session is a connection between two processes. Both send requests and responses.
+// session is a connection between two processes. Both processes send requests and responses.
 type session struct {
 	conn   *net.UnixConn
-	handle func(*Message) *Message // returns the response to a request; nil: none
-	slots  chan struct{}           // one token for each request that is handled
+	handle func(*Message) *Message // returns the response to a request; nil: no response is sent
+	slots  chan struct{}           // semaphore: holds a token for each request being handled
 
 	writeMu sync.Mutex
 
 	mu      sync.Mutex
 	lastSeq uint64
-	pending map[uint64]chan *Message // by sequence number, requests without a response
+	pending map[uint64]chan *Message // requests waiting for a response, by sequence number
 
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -43,8 +43,8 @@
 	}
 }
 
-// run reads messages until the connection ends. It handles each request in a goroutine, as one may wait for a third process;
-// Keys messages are handled in their order, before what follows them.
+// run reads messages until the connection ends. Each request is handled in its own goroutine, because a request may wait for
+// a third process. Keys messages are handled in order, and before the messages that follow them.
 func (s *session) run() error {
 	defer s.close()
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-// deliver passes a response to the call that waits for it, if one does.
+// deliver passes a response to the call that waits for it. It drops a response that no call waits for.
 func (s *session) deliver(m *Message) {
 	s.mu.Lock()
 	waiter := s.pending[m.Seq]
@@ -75,7 +75,8 @@
 	}
 }
 
-// respond handles a request and sends the response. A connection that fails ends the session, which its other user notices.
+// respond handles a request and sends the response. A failed write needs no handling here: it closes the session, which ends
+// run and all pending calls.
 func (s *session) respond(m *Message) {
 	defer func() { <-s.slots }()
 	response := s.handle(m)
@@ -86,7 +87,7 @@
 	_ = s.send(response)
 }
 
-// send writes a message.
+// send writes a message within writeTimeout.
 func (s *session) send(m *Message) error {
 	text, err := encodeFrame(m)
 	if err != nil {
@@ -96,7 +97,7 @@
 	defer s.writeMu.Unlock()
 	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := s.conn.Write(text); err != nil {
-		s.close() // a part of the message may be out
+		s.close() // a part of the message may have been written
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
@@ -134,7 +135,7 @@
 	}
 }
 
-// close closes the connection, once.
+// close closes the connection. Further calls have no effect.
 func (s *session) close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
--- a/internal/platform/handover/successor.go
+++ b/internal/platform/handover/successor.go
@@ -13,7 +13,7 @@
 	"silvertrail/internal/balancer/idempotency"
 )
 
-// acceptBackoff is the pause after a connection that could not be accepted for want of file descriptors.
+// acceptBackoff is the pause after a failed accept, for example when no file descriptor is free.
 const acceptBackoff = 100 * time.Millisecond
 
 // requestClaim asks a successor to claim a key for an attempt of this process.
@@ -27,7 +27,7 @@
 	return *response.KeyState, nil
 }
 
-// ClaimKey asks the successor that has taken over to claim a key for an attempt that is about to begin here.
+// ClaimKey asks the successor that has taken over to claim a key for an attempt that this process is about to send.
 func (p *Process) ClaimKey(ctx context.Context, c Claim) (KeyState, error) {
 	successor := p.currentSuccessor()
 	if successor == nil {
@@ -36,7 +36,8 @@
 	return requestClaim(ctx, successor, c)
 }
 
-// Listen lets successors take over from this process. After an error the next process starts without this one's state.
+// Listen accepts successors, which may take over from this process. After an error the next process starts without the state
+// of this process.
 func (p *Process) Listen() error {
 	listener, err := listenAt(p.path)
 	if err != nil {
@@ -49,16 +50,16 @@
 	return nil
 }
 
-// listenAt listens under a temporary name and renames the socket, so that the path always has a listener, and a file
-// without one is replaced.
+// listenAt listens under a temporary name and renames the socket to path. Thus a socket at path never lacks a listener while
+// it is replaced, and a stale file at path is replaced.
 func listenAt(path string) (*net.UnixListener, error) {
 	temporary := path + fmt.Sprintf(".%d", os.Getpid())
 	_ = os.Remove(temporary)
-	name, done, err := shortPath(temporary)
+	name, release, err := shortPath(temporary)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
+	defer release()
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	if err != nil {
 		return nil, err
@@ -91,7 +92,8 @@
 	}
 }
 
-// serveSuccessor makes an offer to a process that has connected, and handles its requests until it disconnects.
+// serveSuccessor makes an offer to a process that has connected, and handles its requests until the process disconnects. If
+// that process had taken over, this process accepts clients again.
 func (p *Process) serveSuccessor(conn *net.UnixConn) {
 	var s *session
 	s = newSession(conn, func(m *Message) *Message { return p.handleSuccessor(s, m) })
@@ -99,7 +101,7 @@
 	if !p.handleHello(s) {
 		return
 	}
-	_ = s.run() // any error means that it has disconnected
+	_ = s.run() // any error means that the process has disconnected
 	p.mu.Lock()
 	hadTakenOver := p.successor == s
 	if hadTakenOver {
@@ -113,7 +115,7 @@
 	}
 }
 
-// handleHello answers the greeting of a process with an offer. It returns false if there is no session with it.
+// handleHello reads the Hello of a process and answers with an offer. It returns false if no session was established.
 func (p *Process) handleHello(s *session) bool {
 	_ = s.conn.SetReadDeadline(time.Now().Add(offerTimeout))
 	m, err := readFrame(s.conn)
@@ -133,7 +135,7 @@
 	return true
 }
 
-// sendOffer sends the offer, and the listening socket with its first bytes.
+// sendOffer sends the offer. The listening socket is attached to the first bytes.
 func (p *Process) sendOffer(s *session, seq uint64) error {
 	offer := p.host.Offer()
 	text, err := encodeFrame(&Message{Kind: Hello, IsResponse: true, Version: Version, Seq: seq, Offer: &offer})
@@ -159,7 +161,7 @@
 	return err
 }
 
-// handleSuccessor returns the response to a request of a process that is to take over, or has.
+// handleSuccessor returns the response to a request of a process that has connected as a successor.
 func (p *Process) handleSuccessor(s *session, m *Message) *Message {
 	switch m.Kind {
 	case TakeOver:
@@ -172,8 +174,8 @@
 	return &Message{Kind: Rejection, Reason: "unexpected request"}
 }
 
-// handOver has another process take over: it sends the key states, and returns the state. If the session breaks meanwhile,
-// this process accepts clients again.
+// handOver makes another process the successor. It stops accepting clients, sends the key states and returns the response
+// with the other state. If the session ends meanwhile, serveSuccessor has this process accept clients again.
 func (p *Process) handOver(s *session) *Message {
 	p.claimMu.Lock()
 	defer p.claimMu.Unlock()
@@ -190,7 +192,7 @@
 	return &Message{Kind: TakeOver, State: &state}
 }
 
-// setSuccessor makes a process the successor. It returns false if there is one, or this process ends.
+// setSuccessor makes a process the successor. It returns false if there is a successor already, or if this process is closed.
 func (p *Process) setSuccessor(s *session) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,12 +203,12 @@
 	return true
 }
 
-// sendKeys sends key states in messages of at most maxKeysPerMessage, and returns their number.
+// sendKeys sends key states in messages of at most maxKeysPerMessage keys, and returns the number of keys sent.
 func sendKeys(s *session, keys []idempotency.Record) (int, error) {
 	now := time.Now()
-	for part := range slices.Chunk(keys, maxKeysPerMessage) {
+	for chunk := range slices.Chunk(keys, maxKeysPerMessage) {
 		m := &Message{Kind: Keys}
-		for _, k := range part {
+		for _, k := range chunk {
 			m.Keys = append(m.Keys, NewKeyRecord(now, k))
 		}
 		if err := s.send(m); err != nil {
