--- a/internal/platform/handover/handover_test.go
+++ b/internal/platform/handover/handover_test.go
@@ -170,8 +170,8 @@
 	}
 
 	// The first process learns the state of a key that the last one has claimed, through the second.
-	if state := thirdHost.ClaimKey(newClaim("new", "south")); state.Zone != "south" {
-		t.Fatal(state)
+	if keyState := thirdHost.ClaimKey(newClaim("new", "south")); keyState.Zone != "south" {
+		t.Fatal(keyState)
 	}
 	keyState, err := firstProcess.ClaimKey(context.Background(), newClaim("new", "north"))
 	if err != nil || keyState.Zone != "south" {
