--- a/internal/platform/handover/message.go
+++ b/internal/platform/handover/message.go
@@ -41,7 +41,7 @@
 	TakeOver  Kind = "take"  // the successor accepts clients from now on; the response is the predecessor's state at that moment
 	Keys      Kind = "keys"  // key states, split into several messages; they have no response
 	ClaimKey  Kind = "bind"  // the predecessor claims a key for an attempt; the response is the key's state
-	Eject     Kind = "ban"   // an operator has ejected an endpoint, or ended its ejection, at the sending process
+	Eject     Kind = "ban"   // an operator has ejected an endpoint, or ended its ejection, at another process
 	Rejection Kind = "no"    // the request was rejected
 )
 
--- a/internal/platform/handover/predecessor.go
+++ b/internal/platform/handover/predecessor.go
@@ -95,8 +95,8 @@
 }
 
 // TakeOver has the predecessor stop accepting clients, and returns the predecessor's state at that moment. It returns nil if
-// there is no predecessor or no response in time; this process then continues with the state of the offer. Call TakeOver
-// just before this process accepts clients.
+// there is no predecessor, or if the request fails or times out. This process then continues with the state of the offer.
+// TakeOver must be called just before this process accepts clients.
 func (p *Process) TakeOver() *State {
 	predecessor := p.currentPredecessor()
 	if predecessor == nil {
--- a/internal/platform/handover/process.go
+++ b/internal/platform/handover/process.go
@@ -22,7 +22,7 @@
 	ejectTimeout    = 600 * time.Millisecond // shorter than the 1 s for which operators wait
 )
 
-// Host is implemented by this process for the calls of the other processes of an upgrade.
+// Host is the interface through which the other processes of an upgrade act on this process.
 type Host interface {
 	// Offer returns the state that a successor starts with.
 	Offer() Offer
--- a/internal/platform/handover/successor.go
+++ b/internal/platform/handover/successor.go
@@ -93,7 +93,7 @@
 }
 
 // serveSuccessor makes an offer to a process that has connected, and handles its requests until the process disconnects. If
-// that process had taken over, this process accepts clients again.
+// that process had taken over and this process is not closed, this process accepts clients again.
 func (p *Process) serveSuccessor(conn *net.UnixConn) {
 	var s *session
 	s = newSession(conn, func(m *Message) *Message { return p.handleSuccessor(s, m) })
