--- a/internal/balancer/engine/attempt.go
+++ b/internal/balancer/engine/attempt.go
@@ -23,7 +23,7 @@
 	server            *endpoint
 	pool              *upstream.Pool // connections to the address that the server had when the attempt was decided on
 	sentAt            time.Duration
-	receipt           upstream.AttemptProgress
+	progress          upstream.AttemptProgress
 	cancel            context.CancelFunc
 	firstByteSent     bool                 // the first byte was sent, or is about to be
 	ended             bool                 // the policy has been notified of the end, or is being notified
@@ -120,7 +120,7 @@
 	if r.Stream != nil {
 		r.Stream = &uploadBody{RequestStream: r.Stream, engine: e, call: c, attempt: a}
 	}
-	return a.pool.Do(ctx, &r, &a.receipt, func() bool { return e.claimDispatch(c, a) })
+	return a.pool.Do(ctx, &r, &a.progress, func() bool { return e.claimDispatch(c, a) })
 }
 
 // mayDispatch reports whether an attempt may still be sent. While its connection was being established, the attempt may have been
--- a/internal/balancer/engine/engine_test.go
+++ b/internal/balancer/engine/engine_test.go
@@ -79,8 +79,8 @@
 // A draining endpoint gets no new attempt, even if the rest of its list entry is invalid. After an endpoint has changed its address, no
 // attempt that was decided on before is sent to the earlier address.
 func TestDrainingOrMovedEndpointGetsNoAttempt(t *testing.T) {
-	first := lbtest.NewEndpoint(t, func(result *lbtest.Arrival) { result.OK() })
-	second := lbtest.NewEndpoint(t, func(result *lbtest.Arrival) { result.OK() })
+	first := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { arrival.OK() })
+	second := lbtest.NewEndpoint(t, func(arrival *lbtest.Arrival) { arrival.OK() })
 	engine := newEngine(t)
 	engine.UpdateEndpoints(lbpolicy.Full, []endpointlist.Endpoint{listEntry(first.Addr, "ready")})
 	if result := awaitResult(t, beginGet(engine, "one", lbtest.Wait)); result.Response == nil {
--- a/internal/balancer/engine/progress.go
+++ b/internal/balancer/engine/progress.go
@@ -26,7 +26,7 @@
 			if a.isFinished() {
 				continue
 			}
-			progress.HasUnreadResponse = progress.HasUnreadResponse || a.receipt.HasUnreadResponse()
+			progress.HasUnreadResponse = progress.HasUnreadResponse || a.progress.HasUnreadResponse()
 			if since := e.waitsSince(now, a); !a.isDispatchPending && (progress.WaitingSince == 0 || since < progress.WaitingSince) {
 				progress.WaitingSince = since
 			}
@@ -58,7 +58,7 @@
 // waitsSince returns the time since which an attempt has been waiting for its endpoint. It returns now if the attempt is waiting for
 // this process.
 func (e *Engine) waitsSince(now time.Duration, a *attempt) time.Duration {
-	if since, waits := a.receipt.WaitingSince(); waits {
+	if since, waits := a.progress.WaitingSince(); waits {
 		return e.clock.fromTime(since)
 	}
 	return now
--- a/internal/balancer/engine/progress_test.go
+++ b/internal/balancer/engine/progress_test.go
@@ -172,7 +172,7 @@
 	defer engine.mu.Unlock()
 	for b.Loop() {
 		if (actions{engine}).ServerProgress(id).HasUnreadResponse {
-			b.Fatal("HasUnreadAnswer = true, but no response was sent")
+			b.Fatal("HasUnreadResponse = true, but no response was sent")
 		}
 	}
 }
--- a/internal/balancer/upstream/receipt.go
+++ b/internal/balancer/upstream/receipt.go
@@ -31,26 +31,26 @@
 // WaitingSince returns since when the attempt has been waiting for its endpoint: for a connection, or for the response after the
 // request was written. For a request that is streamed or larger than maxSingleWrite, the wait includes the writing. The result waits
 // is false while the attempt waits for this process.
-func (r *AttemptProgress) WaitingSince() (since time.Time, waits bool) {
-	if r.isSent.Load() {
-		return r.sentAt, true
+func (p *AttemptProgress) WaitingSince() (since time.Time, waits bool) {
+	if p.isSent.Load() {
+		return p.sentAt, true
 	}
-	if d := r.dial.Load(); d != nil && d.isConnecting() {
+	if d := p.dial.Load(); d != nil && d.isConnecting() {
 		return d.startedAt, true
 	}
 	return time.Time{}, false
 }
 
 // HasUnreadResponse reports whether a part of the response has arrived that Do has not returned yet.
-func (r *AttemptProgress) HasUnreadResponse() bool {
-	c := r.conn.Load()
-	return c != nil && (socket.Unread(c.raw) > 0 || r.isReading.Load())
+func (p *AttemptProgress) HasUnreadResponse() bool {
+	c := p.conn.Load()
+	return c != nil && (socket.Unread(c.raw) > 0 || p.isReading.Load())
 }
 
 // recordSent records that the request was written, or that the writing of a large or streamed request begins.
-func (r *AttemptProgress) recordSent() {
-	r.sentAt = time.Now()
-	r.isSent.Store(true)
+func (p *AttemptProgress) recordSent() {
+	p.sentAt = time.Now()
+	p.isSent.Store(true)
 }
 
 // isConnecting reports whether the endpoint has not responded to the dial yet. If the socket is not known, it returns true.
--- a/internal/fleet/format_test.go
+++ b/internal/fleet/format_test.go
@@ -18,11 +18,11 @@
 // Packets are encoded in the order of their fields. The samples below set each field by name to its own value, so that a moved
 // field changes the encoding.
 var (
-	formatAttemptID = ownership.ClaimID{Process: 0x0102030405060708, Number: 9}
-	formatPlace     = idempotency.Place{Cluster: "cluster-a", Zone: "zone-b", Cell: 3}
-	formatKeyID     = idempotency.KeyID{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
-	formatHash      = version.Hash{21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32, 33, 34, 35, 36}
-	formatDelta     = membership.Delta{
+	formatClaimID = ownership.ClaimID{Process: 0x0102030405060708, Number: 9}
+	formatPlace   = idempotency.Place{Cluster: "cluster-a", Zone: "zone-b", Cell: 3}
+	formatKeyID   = idempotency.KeyID{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
+	formatHash    = version.Hash{21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32, 33, 34, 35, 36}
+	formatDelta   = membership.Delta{
 		Remove: []membership.Member{{Name: "removed", Address: "127.0.0.1:31", Incarnation: 31}},
 		Add:    []membership.Member{{Name: "added", Address: "127.0.0.1:32", Incarnation: 32}},
 	}
@@ -46,10 +46,10 @@
 }
 
 var formatItems = map[string]item{
-	"ask": {Proposal: &ownership.Proposal{Claim: formatAttemptID, Round: 4, Key: formatKeyID, Place: formatPlace, Scope: 1, Window: 5 * time.Second,
+	"ask": {Proposal: &ownership.Proposal{Claim: formatClaimID, Round: 4, Key: formatKeyID, Place: formatPlace, Scope: 1, Window: 5 * time.Second,
 		Retention: 6 * time.Second, TTL: 7 * time.Second}},
-	"answer": {Response: &ownership.Response{Claim: formatAttemptID, Round: 4, Vote: ownership.HeldElsewhere, Place: formatPlace, SeveralGroups: true, Remaining: 8 * time.Second}},
-	"end":    {Release: &ownership.Release{Claim: formatAttemptID, NeverRan: true}},
+	"answer": {Response: &ownership.Response{Claim: formatClaimID, Round: 4, Vote: ownership.HeldElsewhere, Place: formatPlace, SeveralGroups: true, Remaining: 8 * time.Second}},
+	"end":    {Release: &ownership.Release{Claim: formatClaimID, NeverRan: true}},
 	"want":   {SnapshotRequest: 71},
 	"copy": {SnapshotPart: &snapshotPart{RequestID: 72, Part: 1, Parts: 3, Keys: []ownership.KeyState{{Key: formatKeyID, Place: formatPlace, SeveralZones: true, SeveralCells: true,
 		RetryFor: 9 * time.Second, ExpiresIn: 10 * time.Second}}}},
--- a/internal/fleet/keyownership.go
+++ b/internal/fleet/keyownership.go
@@ -26,10 +26,10 @@
 	voter     *ownership.Voter             // present on every instance, because a reload may make the instance a voter
 	snapshots map[string]*incomingSnapshot // by the voter that sends them
 
-	claimsMu          sync.Mutex // guards the fields below
-	responses         ownership.ResponseTracker
-	claims            map[ownership.ClaimID]*claim
-	lastAttemptNumber uint64
+	claimsMu        sync.Mutex // guards the fields below
+	responses       ownership.ResponseTracker
+	claims          map[ownership.ClaimID]*claim
+	lastClaimNumber uint64
 }
 
 // claim is a proposal in progress.
@@ -56,8 +56,8 @@
 func (k *keyOwnership) NextClaimID() ownership.ClaimID {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
-	k.lastAttemptNumber++
-	return ownership.ClaimID{Process: k.fleet.process, Number: k.lastAttemptNumber}
+	k.lastClaimNumber++
+	return ownership.ClaimID{Process: k.fleet.process, Number: k.lastClaimNumber}
 }
 
 // ClaimKey asks the voters to agree that the attempts of a key go to one place. It returns once the result is final, or Unknown
@@ -116,7 +116,7 @@
 	return k.responses.Timeout(now, c.voters, min(claimTimeout, p.TTL/2), unresponsiveTimeout)
 }
 
-// removeClaim forgets a claim, unless a later claim of the same attempt has replaced it.
+// removeClaim forgets a claim, unless a later claim with the same ID has replaced it.
 func (k *keyOwnership) removeClaim(id ownership.ClaimID, c *claim) {
 	k.claimsMu.Lock()
 	defer k.claimsMu.Unlock()
--- a/internal/gateway/keyclaimer.go
+++ b/internal/gateway/keyclaimer.go
@@ -41,10 +41,10 @@
 
 // resumeKeyClaimer returns the claimer of a request that another site has begun, under the numbers by which the voters know it. The other
 // site reports its end.
-func resumeKeyClaimer(f *fleet.Fleet, id idempotency.KeyID, c *conf.Class, deadline time.Time, attempt ownership.ClaimID, round uint32, visitedSites int) *keyClaimer {
+func resumeKeyClaimer(f *fleet.Fleet, id idempotency.KeyID, c *conf.Class, deadline time.Time, claimID ownership.ClaimID, round uint32, visitedSites int) *keyClaimer {
 	b := newKeyClaimer(f, id, c, deadline)
 	b.reservedRounds = reservedRoundsAfter(visitedSites)
-	b.proposal.Claim = attempt
+	b.proposal.Claim = claimID
 	b.proposal.Round = round
 	b.proposed = true
 	b.resumed = true
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -43,7 +43,7 @@
 )
 
 // Begin records that a request was received. It returns an *UnavailableError if the request cannot be recorded: no attempt of it
-// may be sent then. A request with Unrecorded set gets an entry nevertheless.
+// may be sent then. A request with ServeUnrecorded set gets an entry nevertheless.
 func (l *Ledger) Begin(r Request) (*Entry, error) {
 	record := segment.Record{
 		Kind:        segment.Received,
@@ -96,8 +96,8 @@
 }
 
 // Intent records that the attempt is about to be sent to a place. It returns once the record is durable; in mode OSBuffered, once it is
-// written. After an error the attempt must not be sent. If the record of an attempt fails and the request has Unrecorded set, Intent
-// returns no error and counts the attempt as unrecorded.
+// written. After an error the attempt must not be sent. If the record of an attempt fails and the request has ServeUnrecorded set,
+// Intent returns no error and counts the attempt as unrecorded.
 func (a *Attempt) Intent(ctx context.Context, to idempotency.Place) error {
 	l := a.entry.ledger
 	l.mu.Lock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -491,7 +491,7 @@
 				t.Errorf("Begin during the disk fault: got %v, want an UnavailableError with RetryAfter", err)
 			}
 			if !serve("unrecorded", true) || l.Status().UnrecordedAttempts == 0 {
-				t.Errorf("request with Unrecorded set was not served, or not counted: %+v", l.Status())
+				t.Errorf("request with ServeUnrecorded set was not served, or not counted: %+v", l.Status())
 			}
 			clearFault()
 			lbtest.Until(t, "a request is served after the fault", func() bool { return serve("after", false) })
--- a/internal/sites/peering/messages.go
+++ b/internal/sites/peering/messages.go
@@ -61,7 +61,7 @@
 	AttemptsLeft   int                 `codec:"a,omitempty"` // 0: no limit
 	VisitedSites   []string            `codec:"b"`           // in order; the last one is the sending site
 	Reason         accounting.Reason   `codec:"r"`
-	ClaimAttempt   ownership.ClaimID   `codec:"v,omitempty"` // the attempt for which the key was claimed; zero: not claimed
+	ClaimAttempt   ownership.ClaimID   `codec:"v,omitempty"` // ID of the claim on the key; zero: not claimed
 	ClaimRound     uint32              `codec:"x,omitempty"`
 	KeyMayHaveRun  bool                `codec:"m,omitempty"` // a request with the key may have run at the receiving site
 	IsRetry        bool                `codec:"y,omitempty"` // the client marked the request as a retry
--- a/lbpolicy/balancer_test.go
+++ b/lbpolicy/balancer_test.go
@@ -404,7 +404,7 @@
 	small := b.threshold(9*sec, 4)
 	b.slowRate = 300
 	if large := b.threshold(9*sec, 4); small < thresholdOffset || large < 300*maxQueueShare {
-		t.Fatalf("T1 is %v without traffic and %v at 300 answers per second, want at least minThreshold and 300*maxQueueShare", small, large)
+		t.Fatalf("T1 is %v without traffic and %v at 300 answers per second, want at least thresholdOffset and 300*maxQueueShare", small, large)
 	}
 }
 
