--- a/internal/xds/envoy/cluster.go
+++ b/internal/xds/envoy/cluster.go
@@ -11,16 +11,16 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// Defaults of Envoy's API for fields that are not set.
+// Defaults that Envoy's API documents for fields that are not set.
 const (
 	defaultConnectTimeout = 5 * time.Second
 	defaultPanicThreshold = 0.5
 )
 
-// maxDNSNames bounds the names of a cluster, each of which is resolved by itself.
+// maxDNSNames is the maximum number of DNS names in a cluster. Each name is resolved separately.
 const maxDNSNames = 256
 
-// parseCluster translates a cluster whose fields are all supported.
+// parseCluster translates a cluster that has passed validate. It still rejects unsupported values of supported fields.
 func parseCluster(c *clusterv3.Cluster, warnings map[string]bool) (*cache.Cluster, error) {
 	out := &cache.Cluster{ConnectTimeout: defaultConnectTimeout, PanicThreshold: defaultPanicThreshold}
 	if t := c.ConnectTimeout; t != nil {
@@ -46,10 +46,11 @@
 		}
 		return out, parseEndpointsSource(c, out)
 	}
-	return out, parseInline(c, out)
+	return out, parseInlineEndpoints(c, out)
 }
 
-// isSupportedPolicy reports whether a load-balancing policy needs nothing of the request: this project's policy ranks instead.
+// isSupportedPolicy reports whether a load-balancing policy is accepted. Policies that choose an endpoint by the content of the request
+// are not. An accepted policy is not applied: silvertrail's own balancing policy ranks the endpoints instead.
 func isSupportedPolicy(p clusterv3.Cluster_LbPolicy) bool {
 	switch p {
 	case clusterv3.Cluster_ROUND_ROBIN, clusterv3.Cluster_LEAST_REQUEST, clusterv3.Cluster_RANDOM, clusterv3.Cluster_LOAD_BALANCING_POLICY_CONFIG:
@@ -58,7 +59,8 @@
 	return false
 }
 
-// parseCircuitBreakers reads the bounds of the default priority.
+// parseCircuitBreakers reads the limits on connections and requests of the default priority. A limit of 0 is rejected. Thresholds of
+// other priorities are ignored with a warning.
 func parseCircuitBreakers(c *clusterv3.Cluster, out *cache.Cluster, warnings map[string]bool) error {
 	for _, t := range c.GetCircuitBreakers().GetThresholds() {
 		if t.Priority != corev3.RoutingPriority_DEFAULT {
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// parseInline reads the endpoints of a cluster that is not of type EDS.
-func parseInline(c *clusterv3.Cluster, out *cache.Cluster) error {
+// parseInlineEndpoints reads the endpoints that a cluster of type STATIC, STRICT_DNS or LOGICAL_DNS carries in load_assignment.
+func parseInlineEndpoints(c *clusterv3.Cluster, out *cache.Cluster) error {
 	switch c.GetType() {
 	case clusterv3.Cluster_STRICT_DNS:
 		out.Resolution = cache.StrictDNS
@@ -105,7 +107,8 @@
 	return nil
 }
 
-// parseEndpointsSource reads where the endpoint set of an EDS cluster comes from.
+// parseEndpointsSource reads the source of an EDS cluster's endpoint set: the xDS stream or a file. The service name defaults to the name
+// of the cluster.
 func parseEndpointsSource(c *clusterv3.Cluster, out *cache.Cluster) error {
 	out.ServiceName = c.GetEdsClusterConfig().GetServiceName()
 	if out.ServiceName == "" {
--- a/internal/xds/envoy/decode.go
+++ b/internal/xds/envoy/decode.go
@@ -1,5 +1,6 @@
-// Package envoy decodes clusters and endpoint sets of Envoy's API, version 3, into checked types. Table lists what of the API is
-// supported; a field that is set and not supported is rejected or logged, never ignored silently.
+// Package envoy decodes and validates clusters and endpoint sets of Envoy's API, version 3. Table lists the fields of the API and how
+// each is handled. An unsupported field that is set rejects the resource or logs a warning. Only fields that do not concern this program
+// are ignored without a warning.
 package envoy
 
 import (
@@ -20,17 +21,17 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// The type URLs of resources.
+// Type URLs of the supported resources, and of the Resource wrapper that adds a version to a resource.
 const (
 	ClusterType   = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 	EndpointsType = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 	wrapperType   = "type.googleapis.com/envoy.service.discovery.v3.Resource"
 )
 
-// TypeOf returns the type URL of a kind.
+// TypeOf returns the type URL of a resource kind.
 func TypeOf(k ads.Kind) string { return [...]string{ClusterType, EndpointsType}[k] }
 
-// KindOf returns the kind of a type; ads.Kinds where it is none of ours.
+// KindOf returns the resource kind of a type URL, or ads.KindCount if the type is not supported.
 func KindOf(url string) ads.Kind {
 	switch url {
 	case ClusterType:
@@ -41,9 +42,9 @@
 	return ads.KindCount
 }
 
-// Error is a resource that cannot be used.
+// Error reports a resource that could not be decoded or is not valid.
 type Error struct {
-	Name string // empty where it could not be read
+	Name string // empty if the name of the resource could not be read
 	Err  error
 }
 
@@ -56,21 +57,22 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
+// cacheKey identifies a resource by its kind and the hash of its encoded bytes.
 type cacheKey struct {
 	kind ads.Kind
-	raw  [sha256.Size]byte
+	hash [sha256.Size]byte
 }
 
-// Decoder decodes resources. The result for the bytes of a resource is cached until the resource changes. It is not safe for concurrent
-// use.
+// Decoder decodes resources. It caches the result for a resource until the encoded bytes of the resource change. A Decoder is not safe
+// for concurrent use.
 type Decoder struct {
 	Warn func(text string) // may be called several times with the same text
 
 	cached map[cacheKey]cache.Resource
-	latest [ads.KindCount]map[string]cacheKey // by name
+	latest [ads.KindCount]map[string]cacheKey // key of the cached version, by resource name
 }
 
-// Decode decodes a resource. The error is an *Error.
+// Decode decodes a resource. If the resource is wrapped, the version of the wrapper, if set, replaces version. Errors are of type *Error.
 func (d *Decoder) Decode(k ads.Kind, version string, raw *anypb.Any) (cache.Resource, error) {
 	if raw.GetTypeUrl() == wrapperType {
 		var wrapper discoveryv3.Resource
@@ -98,7 +100,7 @@
 	return resource, nil
 }
 
-// store caches a resource in place of the one with its name.
+// store caches a resource and evicts the previous version of the same name. When the cache is full, store clears it first.
 func (d *Decoder) store(key cacheKey, resource cache.Resource) {
 	if d.cached == nil || len(d.cached) >= int(ads.KindCount)*cache.MaxResources {
 		d.cached = map[cacheKey]cache.Resource{}
@@ -112,7 +114,7 @@
 	d.latest[key.kind][resource.Name] = key
 }
 
-// message is a resource that can be validated by the rules of its API.
+// message is a resource message with the generated validation rules of its API.
 type message interface {
 	proto.Message
 	Validate() error
@@ -154,7 +156,8 @@
 	return resource, nil
 }
 
-// validate checks what all resources have in common: a name, the rules of the API, and that all fields are supported.
+// validate makes the checks that all resources share: the name is not empty, the API's validation rules hold, and no field is rejected
+// by the field table.
 func validate(name string, m message, warnings map[string]bool) error {
 	if name == "" {
 		return errors.New("it has no name")
@@ -165,6 +168,7 @@
 	return checkFields(m.ProtoReflect(), string(m.ProtoReflect().Descriptor().Name()), warnings)
 }
 
+// warn reports the warnings in sorted order.
 func (d *Decoder) warn(warnings map[string]bool) {
 	if d.Warn == nil {
 		return
@@ -174,12 +178,13 @@
 	}
 }
 
-// digest returns a digest of a message's content. The received bytes do not serve: the order of maps in them is not defined.
+// digest returns a digest of a message's content. The message is marshalled again because the order of map entries in the received bytes
+// is undefined.
 func digest(m proto.Message) (updateorder.Digest, error) {
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return updateorder.Digest{}, err
 	}
-	sum := sha256.Sum256(text)
+	sum := sha256.Sum256(encoded)
 	return updateorder.Digest(sum[:16]), nil
 }
--- a/internal/xds/envoy/envoy_test.go
+++ b/internal/xds/envoy/envoy_test.go
@@ -17,20 +17,21 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// The table names each field of the messages that it names, and none that does not exist: a new version of the API fails here.
-func TestTable(t *testing.T) {
+// Table lists every field of each message that occurs in it, and no field that the API does not have. A new version of the API that adds
+// or removes a field fails this test.
+func TestTableMatchesAPIFields(t *testing.T) {
 	seen := map[protoreflect.FullName]bool{}
 	for _, f := range Table {
-		if name := protoreflect.FullName(prefix + f.Name); seen[name] {
-			t.Errorf("%s twice", name)
+		if name := protoreflect.FullName(fieldNamePrefix + f.Name); seen[name] {
+			t.Errorf("%s is listed twice in the table", name)
 		} else {
 			seen[name] = true
 		}
 	}
 	for _, m := range messages() {
-		d, err := protoregistry.GlobalFiles.FindDescriptorByName(protoreflect.FullName(prefix + m))
+		d, err := protoregistry.GlobalFiles.FindDescriptorByName(protoreflect.FullName(fieldNamePrefix + m))
 		if err != nil {
-			t.Errorf("%s: %v", m, err)
+			t.Errorf("message %s not found in the API: %v", m, err)
 			continue
 		}
 		fields := d.(protoreflect.MessageDescriptor).Fields()
@@ -43,11 +44,11 @@
 		}
 	}
 	for name := range seen {
-		t.Errorf("%s is in the table and not in the API", name)
+		t.Errorf("%s is in the table but not in the API", name)
 	}
 }
 
-// messages returns the messages of the table, in its order.
+// messages returns the names of the messages that occur in Table, in the order of the table.
 func messages() (out []string) {
 	for _, f := range Table {
 		if m := f.Name[:strings.LastIndexByte(f.Name, '.')]; !slices.Contains(out, m) {
@@ -57,104 +58,109 @@
 	return out
 }
 
-func decode(t *testing.T, k ads.Kind, text string) (cache.Resource, string, error) {
+// decodeJSON decodes a resource given as JSON. It returns the resource, the text of the warnings, and the error. It also checks that
+// decoding a valid resource again gives the same digest and the new version.
+func decodeJSON(t *testing.T, k ads.Kind, text string) (cache.Resource, string, error) {
 	t.Helper()
 	var m protoreflect.ProtoMessage = &clusterv3.Cluster{}
 	if k == ads.Endpoints {
 		m = &endpointv3.ClusterLoadAssignment{}
 	}
 	if err := protojson.Unmarshal([]byte(text), m); err != nil {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("parse %s: %v", text, err)
 	}
-	a, err := anypb.New(m)
+	packed, err := anypb.New(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var warned strings.Builder
-	d := Decoder{Warn: func(text string) { warned.WriteString(text + "\n") }}
-	i, err := d.Decode(k, "7", a)
-	if again, _ := d.Decode(k, "8", a); err == nil && (again.Digest != i.Digest || again.Version != "8") {
-		t.Errorf("read again: %+v", again)
+	var warnings strings.Builder
+	d := Decoder{Warn: func(text string) { warnings.WriteString(text + "\n") }}
+	resource, err := d.Decode(k, "7", packed)
+	if again, _ := d.Decode(k, "8", packed); err == nil && (again.Digest != resource.Digest || again.Version != "8") {
+		t.Errorf("second decoding: got %+v, want the same digest and version 8", again)
 	}
-	return i, warned.String(), err
+	return resource, warnings.String(), err
 }
 
-const eds = `"type": "EDS", "eds_cluster_config": {"eds_config": {"ads": {}}}`
+// edsFields are the fields of a cluster that receives its endpoints over the aggregated stream.
+const edsFields = `"type": "EDS", "eds_cluster_config": {"eds_config": {"ads": {}}}`
 
-// What cannot be used is rejected with the path of the field; what is ignored is logged.
-func TestClusters(t *testing.T) {
-	for _, c := range []struct{ text, fault, warning string }{
-		{`{"name": "c", ` + eds + `}`, "", ""},
-		{`{"name": "c", ` + eds + `, "transport_socket": {"name": "tls"}}`, "Cluster.transport_socket: not supported: no TLS to endpoints", ""},
-		{`{"name": "c", ` + eds + `, "lb_policy": "MAGLEV"}`, "lb_policy: MAGLEV", ""},
-		{`{"name": "c", ` + eds + `, "lb_policy": "LEAST_REQUEST", "dns_jitter": "1s"}`, "", "Cluster.dns_jitter: passed over"},
+// A cluster with an unsupported field or value is rejected with an error that names the field. An ignored field is reported as a warning.
+func TestUnsupportedClusterFieldsAreRejectedOrWarned(t *testing.T) {
+	for _, c := range []struct{ text, wantError, wantWarning string }{
+		{`{"name": "c", ` + edsFields + `}`, "", ""},
+		{`{"name": "c", ` + edsFields + `, "transport_socket": {"name": "tls"}}`, "Cluster.transport_socket: not supported: no TLS to endpoints", ""},
+		{`{"name": "c", ` + edsFields + `, "lb_policy": "MAGLEV"}`, "lb_policy: MAGLEV", ""},
+		{`{"name": "c", ` + edsFields + `, "lb_policy": "LEAST_REQUEST", "dns_jitter": "1s"}`, "", "Cluster.dns_jitter: passed over"},
 		{`{"name": "c", "type": "EDS", "eds_cluster_config": {"eds_config": {"api_config_source": {"api_type": "GRPC"}}}}`, "eds_cluster_config.eds_config.api_config_source: not supported", ""},
 		{`{"name": "c", "type": "EDS"}`, "eds_config: must be", ""},
 		{`{"name": "c", "type": "ORIGINAL_DST"}`, "type: ORIGINAL_DST", ""},
 		{`{"name": "c", "type": "STATIC"}`, "load_assignment: missing", ""},
-		{`{"name": "c", ` + eds + `, "connect_timeout": "0s"}`, "ConnectTimeout", ""},
-		{`{"name": "c", ` + eds + `, "circuit_breakers": {"thresholds": [{"max_requests": 0}]}}`, "would stop the cluster", ""},
-		{`{"name": "c", ` + eds + `, "circuit_breakers": {"thresholds": [{"max_retries": 3}]}}`, "", "Thresholds.max_retries: passed over"},
+		{`{"name": "c", ` + edsFields + `, "connect_timeout": "0s"}`, "ConnectTimeout", ""},
+		{`{"name": "c", ` + edsFields + `, "circuit_breakers": {"thresholds": [{"max_requests": 0}]}}`, "would stop the cluster", ""},
+		{`{"name": "c", ` + edsFields + `, "circuit_breakers": {"thresholds": [{"max_retries": 3}]}}`, "", "Thresholds.max_retries: passed over"},
 		{`{"name": "c", "type": "LOGICAL_DNS", "load_assignment": {"cluster_name": "c"}}`, "LOGICAL_DNS has one endpoint", ""},
-		{`{"name": "", ` + eds + `}`, "no name", ""},
+		{`{"name": "", ` + edsFields + `}`, "no name", ""},
 	} {
-		i, warned, err := decode(t, ads.Clusters, c.text)
-		if (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) || !strings.Contains(warned, c.warning) || c.warning == "" && warned != "" {
-			t.Errorf("%s:\n%+v, %v, warned %q; want %q, %q", c.text, i, err, warned, c.fault, c.warning)
+		resource, warnings, err := decodeJSON(t, ads.Clusters, c.text)
+		if (err == nil) != (c.wantError == "") || err != nil && !strings.Contains(err.Error(), c.wantError) || !strings.Contains(warnings, c.wantWarning) || c.wantWarning == "" && warnings != "" {
+			t.Errorf("%s:\ngot %+v, error %v, warnings %q; want error %q, warnings %q", c.text, resource, err, warnings, c.wantError, c.wantWarning)
 		}
 	}
-	i, _, err := decode(t, ads.Clusters, `{"name": "c", `+eds+`, "connect_timeout": "0.25s", "common_lb_config": {"healthy_panic_threshold": {"value": 20},
+	resource, _, err := decodeJSON(t, ads.Clusters, `{"name": "c", `+edsFields+`, "connect_timeout": "0.25s", "common_lb_config": {"healthy_panic_threshold": {"value": 20},
 		"locality_weighted_lb_config": {}}, "circuit_breakers": {"thresholds": [{"max_connections": 5, "max_requests": 9}]}}`)
-	if c := i.Cluster; err != nil || c.ServiceName != "c" || c.ConnectTimeout.Milliseconds() != 250 || c.PanicThreshold != 0.2 || !c.LocalityWeighted || c.MaxConnections != 5 || c.MaxRequests != 9 {
-		t.Errorf("%+v, %v", i.Cluster, err)
+	if c := resource.Cluster; err != nil || c.ServiceName != "c" || c.ConnectTimeout.Milliseconds() != 250 || c.PanicThreshold != 0.2 || !c.LocalityWeighted || c.MaxConnections != 5 || c.MaxRequests != 9 {
+		t.Errorf("cluster with all limits set: got %+v, error %v", resource.Cluster, err)
 	}
 }
 
-func TestSets(t *testing.T) {
-	at := func(address, more string) string {
+// An invalid endpoint set is rejected with the path of the field. Valid endpoint fields and all health statuses are translated.
+func TestInvalidEndpointSetsAreRejected(t *testing.T) {
+	endpointAt := func(address, more string) string {
 		return `{"endpoint": {"address": {"socket_address": {"address": "` + address + `", "port_value": 80}}}` + more + `}`
 	}
-	one := func(endpoints string) string {
+	setOf := func(endpoints string) string {
 		return `{"cluster_name": "c", "endpoints": [{"lb_endpoints": [` + endpoints + `]}]}`
 	}
-	for _, c := range []struct{ text, fault string }{
-		{one(at("10.0.0.1", "")), ""},
-		{one(at("10.0.0.1", "") + "," + at("nodo", "")), `endpoints[0].lb_endpoints[1].endpoint.address: "nodo" is no IP address`},
-		{one(at("10.0.0.1", "") + "," + at("::ffff:10.0.0.1", "")), "10.0.0.1:80 is told twice"},
-		{one(at("10.0.0.1", `, "metadata": {"filter_metadata": {"silvertrail": {"group": "x"}}}`)), `"group" is no whole number`},
-		{one(at("10.0.0.1", `, "metadata": {"filter_metadata": {"silvertrail": {"grupo": 1}}}`)), `"grupo" is none of`},
-		{one(at("10.0.0.1", `, "metadata": {"filter_metadata": {"envoy.lb": {"a": "b"}}}`)), ""},
-		{one(`{"endpoint": {"address": {"pipe": {"path": "/x"}}}}`), "address.pipe: not supported"},
+	for _, c := range []struct{ text, wantError string }{
+		{setOf(endpointAt("10.0.0.1", "")), ""},
+		{setOf(endpointAt("10.0.0.1", "") + "," + endpointAt("nodo", "")), `endpoints[0].lb_endpoints[1].endpoint.address: "nodo" is no IP address`},
+		{setOf(endpointAt("10.0.0.1", "") + "," + endpointAt("::ffff:10.0.0.1", "")), "10.0.0.1:80 is told twice"},
+		{setOf(endpointAt("10.0.0.1", `, "metadata": {"filter_metadata": {"silvertrail": {"group": "x"}}}`)), `"group" is no whole number`},
+		{setOf(endpointAt("10.0.0.1", `, "metadata": {"filter_metadata": {"silvertrail": {"grupo": 1}}}`)), `"grupo" is none of`},
+		{setOf(endpointAt("10.0.0.1", `, "metadata": {"filter_metadata": {"envoy.lb": {"a": "b"}}}`)), ""},
+		{setOf(`{"endpoint": {"address": {"pipe": {"path": "/x"}}}}`), "address.pipe: not supported"},
 		{`{"cluster_name": "c", "endpoints": [{"priority": 1}]}`, "priorities have a gap"},
 		{`{"cluster_name": "c", "endpoints": [{}, {}]}`, "endpoints[1].locality: told twice"},
 		{`{"cluster_name": "c", "policy": {"drop_overloads": [{"category": "x"}]}}`, "drop_overloads[0]"},
 		{`{"cluster_name": "c", "policy": {"drop_overloads": [{"category": "x", "drop_percentage": {"numerator": 5}}]}}`, ""},
 	} {
-		i, _, err := decode(t, ads.Endpoints, c.text)
-		if (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
-			t.Errorf("%s:\n%+v, %v; want %q", c.text, i.Set, err, c.fault)
+		resource, _, err := decodeJSON(t, ads.Endpoints, c.text)
+		if (err == nil) != (c.wantError == "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("%s:\ngot %+v, error %v; want error %q", c.text, resource.Set, err, c.wantError)
 		}
 	}
-	i, _, err := decode(t, ads.Endpoints, one(at("10.0.0.1", `, "health_status": "TIMEOUT", "load_balancing_weight": 7, "metadata": {"filter_metadata": {"silvertrail": {"group": 3, "since_ms": 99}}}`)))
-	if want := (cache.Endpoint{Address: "10.0.0.1:80", Health: cache.Unhealthy, Weight: 7, Group: 3, SinceMS: 99}); err != nil || i.Set.Localities[0].Endpoints[0] != want {
-		t.Errorf("%+v, %v", i.Set, err)
+	resource, _, err := decodeJSON(t, ads.Endpoints, setOf(endpointAt("10.0.0.1", `, "health_status": "TIMEOUT", "load_balancing_weight": 7, "metadata": {"filter_metadata": {"silvertrail": {"group": 3, "since_ms": 99}}}`)))
+	if want := (cache.Endpoint{Address: "10.0.0.1:80", Health: cache.Unhealthy, Weight: 7, Group: 3, SinceMS: 99}); err != nil || resource.Set.Localities[0].Endpoints[0] != want {
+		t.Errorf("endpoint with all fields set: got %+v, error %v", resource.Set, err)
 	}
 	for status := range corev3.HealthStatus_name {
-		if _, is := healthOf[corev3.HealthStatus(status)]; !is {
-			t.Errorf("health status %d has no meaning here", status)
+		if _, known := healthByStatus[corev3.HealthStatus(status)]; !known {
+			t.Errorf("health status %d is not in healthByStatus", status)
 		}
 	}
 }
 
-// Any bytes give a resource or an error with a name, never a panic.
+// Decoding arbitrary bytes never panics. It returns an error, or a named resource with a cluster or an endpoint set. Traffic assignment
+// of a decoded set does not panic either.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []protoreflect.ProtoMessage{&clusterv3.Cluster{Name: "c"}, &endpointv3.ClusterLoadAssignment{ClusterName: "c", Endpoints: []*endpointv3.LocalityLbEndpoints{{
 		LbEndpoints: []*endpointv3.LbEndpoint{{}}}}}} {
-		a, err := anypb.New(m)
+		packed, err := anypb.New(m)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(a.Value, m.ProtoReflect().Descriptor().Name() == "Cluster")
+		f.Add(packed.Value, m.ProtoReflect().Descriptor().Name() == "Cluster")
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, cluster bool) {
 		k := ads.Endpoints
@@ -162,12 +168,12 @@
 			k = ads.Clusters
 		}
 		var d Decoder
-		i, err := d.Decode(k, "", &anypb.Any{TypeUrl: TypeOf(k), Value: raw})
-		if err == nil && (i.Name == "" || i.Cluster == nil && i.Set == nil) {
-			t.Errorf("%+v", i)
+		resource, err := d.Decode(k, "", &anypb.Any{TypeUrl: TypeOf(k), Value: raw})
+		if err == nil && (resource.Name == "" || resource.Cluster == nil && resource.Set == nil) {
+			t.Errorf("decoded resource lacks a name, or has neither cluster nor endpoint set: %+v", resource)
 		}
-		if i.Set != nil {
-			cache.AssignTraffic(&cache.Cluster{PanicThreshold: 0.5}, i.Set, false, cache.AllPriorities)
+		if resource.Set != nil {
+			cache.AssignTraffic(&cache.Cluster{PanicThreshold: 0.5}, resource.Set, false, cache.AllPriorities)
 		}
 	})
 }
--- a/internal/xds/envoy/fields.go
+++ b/internal/xds/envoy/fields.go
@@ -7,32 +7,32 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Support says what happens with a field that a control plane sets.
+// Support is how a field that a control plane sets is handled.
 type Support uint8
 
-// The kinds of support. A field that the table does not name is rejected.
+// Values of Support. A field that is not in Table is rejected.
 const (
-	Rejected  Support = iota // the resource is rejected
-	Warned                   // ignored, with a log message
-	Supported                // it has the meaning that Envoy documents
-	Ignored                  // ignored: it does not concern this program
+	Rejected  Support = iota // the whole resource is rejected
+	Warned                   // the field is ignored and a warning is logged
+	Supported                // the field has the meaning that Envoy documents
+	Ignored                  // the field is ignored without a warning because it does not concern this program
 )
 
 // String returns the word that the command "xds fields" prints.
 func (s Support) String() string { return [...]string{"refused", "warned", "used", "harmless"}[s] }
 
-// Field is a row of the table.
+// Field is a row of Table.
 type Field struct {
-	Name    string // without the common prefix
+	Name    string // full protobuf name without "envoy.config."
 	Support Support
-	Note    string
+	Note    string // reason or restriction; may be empty
 }
 
-// prefix is common to the names of all fields.
-const prefix = "envoy.config."
+// fieldNamePrefix is the common prefix of the full protobuf names of all fields in Table.
+const fieldNamePrefix = "envoy.config."
 
-// Table lists the fields of the API with their support, in the order of the messages. Fields of messages below an unsupported field are
-// not in it.
+// Table lists the fields of the API and how each is handled, grouped by message. Messages that only occur below an unsupported field are
+// left out.
 var Table = []Field{
 	{"cluster.v3.Cluster.name", Supported, ""},
 	{"cluster.v3.Cluster.type", Supported, "EDS, STATIC, STRICT_DNS, LOGICAL_DNS; ORIGINAL_DST is refused"},
@@ -170,29 +170,30 @@
 	{"core.v3.Metadata.typed_filter_metadata", Ignored, ""},
 }
 
-// byName holds the table by full field name.
-var byName = func() map[protoreflect.FullName]Field {
+// fieldsByName indexes Table by full protobuf field name.
+var fieldsByName = func() map[protoreflect.FullName]Field {
 	out := make(map[protoreflect.FullName]Field, len(Table))
 	for _, f := range Table {
-		out[protoreflect.FullName(prefix+f.Name)] = f
+		out[protoreflect.FullName(fieldNamePrefix+f.Name)] = f
 	}
 	return out
 }()
 
-// isFullySupported reports whether all fields of a message are supported: durations, percentages, wrapped numbers, structs.
+// isFullySupported reports whether all fields of a message are supported. These are the messages outside envoy.config: durations,
+// percentages, wrapped numbers and structs.
 func isFullySupported(name protoreflect.FullName) bool {
-	return !strings.HasPrefix(string(name), prefix)
+	return !strings.HasPrefix(string(name), fieldNamePrefix)
 }
 
-// checkFields walks all fields that are set in a message. It returns an error with the path of a field that is rejected, and adds
-// warnings for those that are ignored.
+// checkFields walks all fields that are set in a message, including nested messages. It returns an error with the path of the first
+// rejected field that it finds. It adds a warning for each field with support Warned and for unknown fields.
 func checkFields(m protoreflect.Message, path string, warnings map[string]bool) (err error) {
 	if n := len(m.GetUnknown()); n > 0 {
 		warnings[fmt.Sprintf("%s: %d bytes of fields that are not known here", path, n)] = true
 	}
 	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		fieldPath := path + "." + string(f.Name())
-		field := byName[f.FullName()]
+		field := fieldsByName[f.FullName()]
 		switch field.Support {
 		case Rejected:
 			err = fmt.Errorf("%s: not supported%s", fieldPath, noteSuffix(field.Note))
@@ -207,7 +208,7 @@
 	return err
 }
 
-// checkValue checks the messages in a field.
+// checkValue checks the fields of the message, or of each message of the list, that a field holds. Other values need no check.
 func checkValue(f protoreflect.FieldDescriptor, v protoreflect.Value, path string, warnings map[string]bool) error {
 	if f.Kind() != protoreflect.MessageKind || f.IsMap() || isFullySupported(f.Message().FullName()) {
 		return nil
--- a/internal/xds/envoy/set.go
+++ b/internal/xds/envoy/set.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	defaultOverprovisioning = 1.4 // of Envoy's API
-	maxPriorities           = 128 // of Envoy's API
-	metadataName            = "silvertrail"
+	defaultOverprovisioningFactor = 1.4           // default of Envoy's API
+	maxPriorities                 = 128           // limit of Envoy's API; priorities are 0 to 127
+	metadataKey                   = "silvertrail" // key of this project's entry in filter_metadata
 )
 
-// parseEndpointSet translates an endpoint set whose fields are all supported.
+// parseEndpointSet translates an endpoint set whose fields have passed checkFields. The priorities of its localities must have no gap.
 func parseEndpointSet(s *endpointv3.ClusterLoadAssignment, resolution cache.Resolution) (*cache.EndpointSet, error) {
-	out := &cache.EndpointSet{Overprovisioning: defaultOverprovisioning}
+	out := &cache.EndpointSet{Overprovisioning: defaultOverprovisioningFactor}
 	if err := parsePolicy(s.Policy, out); err != nil {
 		return nil, err
 	}
-	parser := setParser{resolution: resolution, localities: map[localityKey]bool{}, priorities: map[uint32]bool{}, addresses: map[string]bool{}}
+	parser := endpointSetParser{resolution: resolution, localities: map[localityKey]bool{}, priorities: map[uint32]bool{}, addresses: map[string]bool{}}
 	for i, l := range s.Endpoints {
 		locality, err := parser.parseLocality(i, l)
 		if err != nil {
@@ -61,14 +61,15 @@
 	return nil
 }
 
-// localityKey identifies a locality of a set: it may stand once at each priority.
+// localityKey identifies a locality within a set. The same locality may occur once at each priority.
 type localityKey struct {
 	region, zone, subZone string
 	priority              uint32
 }
 
-// setParser checks what has to be unique or bounded over all localities of a set.
-type setParser struct {
+// endpointSetParser holds the state for checks across all localities of a set: unique localities and addresses, priorities without a
+// gap, and the limit on the number of endpoints.
+type endpointSetParser struct {
 	resolution  cache.Resolution
 	localities  map[localityKey]bool
 	priorities  map[uint32]bool
@@ -77,7 +78,7 @@
 	maxPriority uint32
 }
 
-func (p *setParser) parseLocality(i int, l *endpointv3.LocalityLbEndpoints) (cache.Locality, error) {
+func (p *endpointSetParser) parseLocality(i int, l *endpointv3.LocalityLbEndpoints) (cache.Locality, error) {
 	key := localityKey{l.GetLocality().GetRegion(), l.GetLocality().GetZone(), l.GetLocality().GetSubZone(), l.Priority}
 	out := cache.Locality{Region: key.region, Zone: key.zone, SubZone: key.subZone, Priority: int(l.Priority), Weight: l.LoadBalancingWeight.GetValue()}
 	switch {
@@ -107,8 +108,8 @@
 	return out, nil
 }
 
-// healthOf translates the health statuses of Envoy's API.
-var healthOf = map[corev3.HealthStatus]cache.Health{
+// healthByStatus maps the health statuses of Envoy's API.
+var healthByStatus = map[corev3.HealthStatus]cache.Health{
 	corev3.HealthStatus_UNKNOWN:   cache.Healthy,
 	corev3.HealthStatus_HEALTHY:   cache.Healthy,
 	corev3.HealthStatus_DEGRADED:  cache.Degraded,
@@ -117,9 +118,9 @@
 	corev3.HealthStatus_TIMEOUT:   cache.Unhealthy,
 }
 
-// parseEndpoint translates an endpoint. An error begins with the path of the field below the endpoint.
+// parseEndpoint translates an endpoint. The text of an error begins with the field's path relative to the endpoint.
 func parseEndpoint(e *endpointv3.LbEndpoint, resolution cache.Resolution) (cache.Endpoint, error) {
-	health, ok := healthOf[e.HealthStatus]
+	health, ok := healthByStatus[e.HealthStatus]
 	if !ok {
 		return cache.Endpoint{}, fmt.Errorf(".health_status: %s is not known", e.HealthStatus)
 	}
@@ -134,7 +135,8 @@
 	return out, nil
 }
 
-// parseAddress returns an IP address and port in one form, or a name and port where names are resolved.
+// parseAddress returns an address and port as host:port. IP addresses are normalised: an IPv4-mapped IPv6 address becomes IPv4. Host
+// names are accepted only for clusters with DNS resolution.
 func parseAddress(address *corev3.SocketAddress, resolution cache.Resolution) (string, error) {
 	if address == nil {
 		return "", errors.New("missing")
@@ -158,15 +160,15 @@
 	return net.JoinHostPort(address.Address, strconv.Itoa(int(port))), nil
 }
 
-// Bounds of the numbers in this project's metadata.
+// Maximum values of the numbers in this project's metadata.
 const (
 	maxGroup   = 1 << 30
-	maxSinceMS = 1<<53 - 1 // the largest whole number that each float64 up to it holds
+	maxSinceMS = 1<<53 - 1 // milliseconds; float64 represents every integer up to this value exactly
 )
 
-// parseMetadata reads this project's metadata: the group of an endpoint and its start.
+// parseMetadata reads this project's metadata: the group of an endpoint and its start time (since_ms). Unknown names are rejected.
 func parseMetadata(e *endpointv3.LbEndpoint, out *cache.Endpoint) error {
-	for name, v := range e.GetMetadata().GetFilterMetadata()[metadataName].GetFields() {
+	for name, v := range e.GetMetadata().GetFilterMetadata()[metadataKey].GetFields() {
 		_, isNumber := v.GetKind().(*structpb.Value_NumberValue)
 		n := v.GetNumberValue()
 		switch {
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// parseFraction returns a fractional percentage as a fraction. Over 100 % is taken as 100 %, as in Envoy.
+// parseFraction returns a fractional percentage as a fraction. Values over 100 % are capped at 100 %, as in Envoy.
 func parseFraction(p *typev3.FractionalPercent) (float64, error) {
 	denominator := map[typev3.FractionalPercent_DenominatorType]float64{
 		typev3.FractionalPercent_HUNDRED:      100,
