--- a/internal/xds/envoy/envoy_test.go
+++ b/internal/xds/envoy/envoy_test.go
@@ -116,8 +116,8 @@
 
 // An invalid endpoint set is rejected with the path of the field. Valid endpoint fields and all health statuses are translated.
 func TestInvalidEndpointSetsAreRejected(t *testing.T) {
-	endpointAt := func(address, more string) string {
-		return `{"endpoint": {"address": {"socket_address": {"address": "` + address + `", "port_value": 80}}}` + more + `}`
+	endpointAt := func(address, extraFields string) string {
+		return `{"endpoint": {"address": {"socket_address": {"address": "` + address + `", "port_value": 80}}}` + extraFields + `}`
 	}
 	setOf := func(endpoints string) string {
 		return `{"cluster_name": "c", "endpoints": [{"lb_endpoints": [` + endpoints + `]}]}`
