--- a/internal/xds/cache/apply.go
+++ b/internal/xds/cache/apply.go
@@ -9,14 +9,16 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// resourcePrefix is what the names of a kind's resources begin with in the update order.
+// resourcePrefix returns the prefix of a kind's resource names in updateorder, which has one namespace for all kinds.
 func resourcePrefix(k ads.Kind) string { return k.String() + "/" }
 
+// updateOf returns a resource as an update for updateorder.
 func updateOf(k ads.Kind, r Resource) updateorder.Update {
 	return updateorder.Update{Resource: resourcePrefix(k) + r.Name, Version: r.Version, Digest: r.Digest}
 }
 
-// Apply applies a response of an active stream. It returns the resources for which there is no capacity.
+// Apply applies a response from an active stream. It returns the resources rejected because the cache already holds MaxResources
+// resources of the kind.
 func (c *Cache) Apply(now time.Time, stream updateorder.Stream, response Response) (rejected []Rejection) {
 	named := make(map[string]bool, len(response.Resources)+len(response.Rejections))
 	for _, r := range response.Resources {
@@ -49,8 +51,8 @@
 	return rejected
 }
 
-// removedBy returns what a response removes: the resources that it says so of and, where it is complete, those that it does not
-// name.
+// removedBy returns the names of the resources that a response removes: those that it lists as removed and, if it is complete,
+// those that it does not mention.
 func (c *Cache) removedBy(response Response, named map[string]bool) []string {
 	removed := response.Removed
 	if !response.Complete {
@@ -64,20 +66,20 @@
 	return removed
 }
 
-// applyUpdate puts an update in force, or defers it, as its order has it.
+// applyUpdate applies an update, confirms the current resource or defers the update, as updateorder decides.
 func (c *Cache) applyUpdate(now time.Time, stream updateorder.Stream, k ads.Kind, e *entry, r Resource) {
 	source := c.streams[stream]
 	switch c.order.Receive(now, stream, updateOf(k, r)) {
 	case updateorder.Apply:
 		c.accept(now, k, e, r, source)
 	case updateorder.Unchanged:
-		if e.deferred != nil || e.staleAfter() > 0 || e.receivedAt.IsZero() { // a stale set is fresh again
+		if e.deferred != nil || e.staleAfter() > 0 || e.receivedAt.IsZero() { // a stale set becomes fresh
 			c.markChanged(k, r.Name)
 		}
 		e.deferred = nil
 		e.receivedAt = now
 		e.source = source
-		if !e.isPresent() && r.Digest != updateorder.Absent { // it was deleted while it was unused
+		if !e.isPresent() && r.Digest != updateorder.Absent { // the entry was deleted while unused
 			c.accept(now, k, e, r, source)
 		}
 		e.resource.Version = r.Version
@@ -89,7 +91,7 @@
 	}
 }
 
-// applyDeferred puts deferred updates in force that are due.
+// applyDeferred applies the deferred updates that are due.
 func (c *Cache) applyDeferred(now time.Time) {
 	if due := c.order.NextDue(); due.IsZero() || due.After(now) {
 		return
@@ -108,7 +110,7 @@
 	}
 }
 
-// accept puts a resource in force.
+// accept makes r the current resource of the entry and drops its deferred update.
 func (c *Cache) accept(now time.Time, k ads.Kind, e *entry, r Resource, source string) {
 	e.resource = r
 	e.source = source
@@ -121,7 +123,7 @@
 	}
 }
 
-// markChanged notes the clusters in use whose view depends on a resource.
+// markChanged marks the clusters in use whose view depends on a resource as changed.
 func (c *Cache) markChanged(k ads.Kind, name string) {
 	if k == ads.Clusters {
 		if c.inUse[name] {
--- a/internal/xds/cache/cache.go
+++ b/internal/xds/cache/cache.go
@@ -1,9 +1,9 @@
-// Package cache holds the resources that control planes sent, decides which of them are in force, and assigns a cluster's traffic
-// to its endpoints. It has no clock and does no I/O.
+// Package cache holds the resources that control planes sent, decides which of them are current, and assigns a cluster's traffic
+// to its endpoints. It reads no clock and does no I/O.
 //
-// Package updateorder decides which of two updates is newer. This package joins clusters to their endpoint sets, whichever comes
-// first, defers what updateorder defers, keeps the last good resource when an unusable one comes, and reports the source of each
-// resource.
+// Package updateorder decides which of two updates is newer. This package joins clusters to their endpoint sets, in
+// whichever order they arrive. It keeps a deferred update until updateorder applies or drops it. It keeps the last valid resource
+// when an update is rejected, and reports the control plane that sent each resource.
 package cache
 
 import (
@@ -13,44 +13,44 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// Bounds of a cache.
+// Limits of a cache.
 const (
-	MaxResources = 10_000 // of each kind; those beyond it are rejected
-	MaxEndpoints = 10_000 // of a set
+	MaxResources = 10_000 // per kind; further resources are rejected
+	MaxEndpoints = 10_000 // per endpoint set
 )
 
 // Options configure a cache.
 type Options struct {
-	DeferTime       time.Duration // for which an older update is deferred, see package updateorder
-	ResourceTimeout time.Duration // after which a resource that was requested and did not come does not exist
-	Wildcard        bool          // all clusters are subscribed to, in use or not
+	DeferTime       time.Duration // how long an outdated update is deferred, see package updateorder
+	ResourceTimeout time.Duration // a requested resource that does not arrive within it is reported as missing
+	Wildcard        bool          // all clusters are subscribed to, even if not in use
 }
 
 // entry is the state of a resource.
 type entry struct {
-	resource       Resource // in force; without cluster and set: there is none
-	source         string
-	receivedAt     time.Time // when it was received last, or confirmed
-	requestedAt    time.Time // since when it is awaited; zero: it was received, or is not subscribed to
-	unusedSince    time.Time // since when it is not subscribed to; zero: it is
-	deferred       *Resource // an older update that was not confirmed yet
-	deferredSource string
-	rejection      Rejection // of the last update that could not be used, until one can
+	resource       Resource  // the current resource; absent if it has neither a cluster nor a set
+	source         string    // the control plane that last sent or confirmed the current resource
+	receivedAt     time.Time // when the current resource was last received or confirmed
+	requestedAt    time.Time // when the wait for a response began; zero if a response arrived or timed out, or without a subscription
+	unusedSince    time.Time // when the subscription ended; zero if subscribed
+	deferred       *Resource // an outdated update that is not confirmed yet
+	deferredSource string    // the control plane that sent the deferred update
+	rejection      Rejection // of the last rejected update; cleared by the next valid one
 	rejectedAt     time.Time
 }
 
-// isPresent reports whether a resource is in force.
+// isPresent reports whether the entry has a current resource.
 func (e *entry) isPresent() bool { return e.resource.Cluster != nil || e.resource.Set != nil }
 
-// isPending reports whether the resource is awaited.
+// isPending reports whether the resource is absent and a response to its subscription is awaited.
 func (e *entry) isPending() bool { return !e.isPresent() && !e.requestedAt.IsZero() }
 
-// isRemoved reports whether a control plane has removed the resource, also where an older update of it is deferred.
+// isRemoved reports whether a control plane has removed the resource, even if an outdated update of the resource is deferred.
 func (e *entry) isRemoved() bool {
 	return !e.isPresent() && !e.receivedAt.IsZero() && e.rejection.Reason == ""
 }
 
-// staleAfter returns the age at which an endpoint set is stale; zero: never.
+// staleAfter returns the age at which an endpoint set is stale; zero if it never becomes stale.
 func (e *entry) staleAfter() time.Duration {
 	if e.resource.Set == nil {
 		return 0
@@ -63,9 +63,9 @@
 	options Options
 	order   *updateorder.Orderer
 	entries [ads.KindCount]map[string]*entry
-	inUse   map[string]bool               // clusters
-	changed map[string]bool               // clusters whose view may have changed
-	streams map[updateorder.Stream]string // the active ones, with their control planes
+	inUse   map[string]bool               // clusters in use, by name
+	changed map[string]bool               // clusters whose view may have changed since TakeChanged
+	streams map[updateorder.Stream]string // active streams, with the names of their control planes
 }
 
 // New returns an empty cache.
@@ -83,19 +83,20 @@
 	return c
 }
 
-// StreamStarted records that a stream to a control plane is active from now on.
+// StreamStarted records that a stream to a control plane is active from now on. It restarts the resource timeout of all awaited
+// resources.
 func (c *Cache) StreamStarted(now time.Time, stream updateorder.Stream, controlPlane string) {
 	c.streams[stream] = controlPlane
 	for _, entries := range c.entries {
 		for _, e := range entries {
-			if !e.requestedAt.IsZero() { // the resource timeout begins anew
+			if !e.requestedAt.IsZero() { // restart the resource timeout
 				e.requestedAt = now
 			}
 		}
 	}
 }
 
-// StreamEnded records that a stream has ended, or is not active any more.
+// StreamEnded records that a stream has ended or is no longer active. It drops all deferred updates.
 func (c *Cache) StreamEnded(stream updateorder.Stream) {
 	c.order.EndStream(stream)
 	delete(c.streams, stream)
@@ -106,7 +107,7 @@
 	}
 }
 
-// entry returns the state of a resource, created if needed; nil where there is no capacity for it.
+// entry returns the state of a resource and creates it if needed. It returns nil if the kind already has MaxResources entries.
 func (c *Cache) entry(k ads.Kind, name string) *entry {
 	e := c.entries[k][name]
 	if e == nil {
@@ -119,7 +120,7 @@
 	return e
 }
 
-// cluster returns a cluster in force, or nil.
+// cluster returns the current cluster of a name, or nil.
 func (c *Cache) cluster(name string) *Cluster {
 	e := c.entries[ads.Clusters][name]
 	if e == nil {
@@ -128,8 +129,8 @@
 	return e.resource.Cluster
 }
 
-// Advance brings the cache up to the time: deferred updates that are due, resources that did not come in time, and sets that are
-// stale.
+// Advance applies deferred updates that are due, reports resources that did not arrive within the resource timeout as missing, marks
+// clusters with a stale endpoint set as changed, and deletes resources that have been unused for the retention time.
 func (c *Cache) Advance(now time.Time) {
 	c.applyDeferred(now)
 	c.updateSubscriptions(now)
@@ -148,7 +149,7 @@
 	}
 }
 
-// NextDeadline returns the time at which Advance has something to do; zero: none until an update comes.
+// NextDeadline returns the time at which Advance must be called next; zero if not before the next update.
 func (c *Cache) NextDeadline(now time.Time) (next time.Time) {
 	next = c.order.NextDue()
 	consider := func(at time.Time) {
--- a/internal/xds/cache/cache_test.go
+++ b/internal/xds/cache/cache_test.go
@@ -11,162 +11,162 @@
 	"silvertrail/internal/xds/ads"
 )
 
-const hold = 30 * time.Second
+const deferTime = 30 * time.Second
 
-// applyState applies a numbered state of a control plane: two clusters, either of which may be removed, whose endpoint sets hold the
-// number as an address.
-func applyState(s *Cache, now time.Time, stream updateorder.Stream, n int, whole, setsFirst bool) {
-	item := func(k ads.Kind, name string, of int) Resource {
-		i := Resource{Name: name, Version: fmt.Sprint(n), Digest: updateorder.Digest{1, byte(of), byte(of >> 8), byte(k), name[0]}, Raw: []byte{1}}
+// applyState applies a numbered state of a control plane. A state has two clusters, one of which may be removed, and their endpoint
+// sets, whose only endpoint has the number as its address.
+func applyState(cache *Cache, now time.Time, stream updateorder.Stream, state int, complete, setsFirst bool) {
+	resource := func(k ads.Kind, name string, content int) Resource {
+		r := Resource{Name: name, Version: fmt.Sprint(state), Digest: updateorder.Digest{1, byte(content), byte(content >> 8), byte(k), name[0]}, Raw: []byte{1}}
 		if k == ads.Clusters {
-			i.Cluster = &Cluster{ServiceName: name + "-set"}
+			r.Cluster = &Cluster{ServiceName: name + "-set"}
 		} else {
-			i.Set = &EndpointSet{Overprovisioning: 1.4, Localities: []Locality{{Endpoints: []Endpoint{{Address: fmt.Sprint(of), Weight: 1}}}}}
+			r.Set = &EndpointSet{Overprovisioning: 1.4, Localities: []Locality{{Endpoints: []Endpoint{{Address: fmt.Sprint(content), Weight: 1}}}}}
 		}
-		return i
+		return r
 	}
-	c := Response{Kind: ads.Clusters, Version: fmt.Sprint(n), Complete: whole}
-	e := Response{Kind: ads.Endpoints, Version: fmt.Sprint(n)}
+	clusters := Response{Kind: ads.Clusters, Version: fmt.Sprint(state), Complete: complete}
+	endpoints := Response{Kind: ads.Endpoints, Version: fmt.Sprint(state)}
 	for j, name := range []string{"a", "b"} {
-		if isRemovedIn(n, j) {
-			c.Removed = append(c.Removed, name)
+		if isRemovedIn(state, j) {
+			clusters.Removed = append(clusters.Removed, name)
 			continue
 		}
-		c.Resources = append(c.Resources, item(ads.Clusters, name, (n+1-j)/5)) // another content each time that it was removed
-		e.Resources = append(e.Resources, item(ads.Endpoints, name+"-set", n))
+		clusters.Resources = append(clusters.Resources, resource(ads.Clusters, name, (state+1-j)/5)) // the content changes after each removal
+		endpoints.Resources = append(endpoints.Resources, resource(ads.Endpoints, name+"-set", state))
 	}
-	if whole {
-		c.Removed = nil
+	if complete {
+		clusters.Removed = nil
 	}
 	if setsFirst {
-		s.Apply(now, stream, e)
+		cache.Apply(now, stream, endpoints)
 	}
-	s.Apply(now, stream, c)
-	s.Apply(now, stream, e)
+	cache.Apply(now, stream, clusters)
+	cache.Apply(now, stream, endpoints)
 }
 
-func isRemovedIn(n, cluster int) bool { return n%5 == 3+cluster }
+func isRemovedIn(state, cluster int) bool { return state%5 == 3+cluster }
 
-func addressOf(s *Cache, now time.Time, j int) string {
-	v := s.View(now, []string{"a", "b"}[j])
-	if v.State != Ready {
-		return v.State.String()
+func addressOf(cache *Cache, now time.Time, cluster int) string {
+	view := cache.View(now, []string{"a", "b"}[cluster])
+	if view.State != Ready {
+		return view.State.String()
 	}
-	return v.Set.Localities[0].Endpoints[0].Address
+	return view.Set.Localities[0].Endpoints[0].Address
 }
 
-// A control plane whose states are numbered, and whose servers lag: whatever streams break, return with older states and catch up, the
-// newest state that was received is in force until a server has stayed on an older one for the defer time; and in the end the state of
-// the last server is.
-func TestInterleavings(t *testing.T) {
+// A control plane has numbered states, and its servers may lag. Streams break at random, reconnect to a server with an older state
+// and catch up. The newest state that was received must stay current until a server has stayed on an older state for the defer time.
+// At the end the state of the last server must be current.
+func TestNewestStateIsCurrentAfterInterleavedUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Options{DeferTime: hold, ResourceTimeout: time.Hour})
+		cache := New(Options{DeferTime: deferTime, ResourceTimeout: time.Hour})
 		now := time.Unix(1_800_000_000, 0)
-		s.SetClustersInUse(now, []string{"a", "b"})
-		stream, newest, at := updateorder.Stream(1), 0, 0 // of the control plane, and of the active server
-		inForce := 0
-		s.StreamStarted(now, stream, "p")
-		applyState(s, now, stream, 0, true, false)
+		cache.SetClustersInUse(now, []string{"a", "b"})
+		stream, newest, serverState := updateorder.Stream(1), 0, 0 // newest is the state of the control plane, serverState that of the active server
+		current := 0
+		cache.StreamStarted(now, stream, "p")
+		applyState(cache, now, stream, 0, true, false)
 		check := func() {
-			s.Advance(now)
+			cache.Advance(now)
 			for j := range 2 {
-				want := fmt.Sprint(inForce)
-				if isRemovedIn(inForce, j) {
+				want := fmt.Sprint(current)
+				if isRemovedIn(current, j) {
 					want = Removed.String()
 				}
-				if got := addressOf(s, now, j); got != want {
-					t.Fatalf("cluster %d is %s, want %s; the server is at %d of %d", j, got, want, at, newest)
+				if got := addressOf(cache, now, j); got != want {
+					t.Fatalf("cluster %d is %s, want %s; the server is at %d of %d", j, got, want, serverState, newest)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.SampledFrom([]string{"new state", "catch up", "break", "repeat"}).Draw(t, "event") {
-			case "new state": // a server that lags catches up first: an old state that was never received would be taken as new
-				for at < newest {
-					at++
-					applyState(s, now, stream, at, rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "sets first"))
+			case "new state": // a lagging server catches up first, because an old state that was never received would count as new
+				for serverState < newest {
+					serverState++
+					applyState(cache, now, stream, serverState, rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "sets first"))
 				}
 				newest++
-				at = newest
-				applyState(s, now, stream, at, rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "sets first"))
-				inForce = newest
+				serverState = newest
+				applyState(cache, now, stream, serverState, rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "sets first"))
+				current = newest
 			case "catch up":
-				if at < newest {
-					at++
+				if serverState < newest {
+					serverState++
 				}
-				applyState(s, now, stream, at, true, true)
+				applyState(cache, now, stream, serverState, true, true)
 			case "break":
-				s.StreamEnded(stream)
+				cache.StreamEnded(stream)
 				stream++
-				at = max(newest-rapid.IntRange(0, 6).Draw(t, "lag"), 0)
-				s.StreamStarted(now, stream, "p")
-				applyState(s, now, stream, at, rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "sets first"))
+				serverState = max(newest-rapid.IntRange(0, 6).Draw(t, "lag"), 0)
+				cache.StreamStarted(now, stream, "p")
+				applyState(cache, now, stream, serverState, rapid.Bool().Draw(t, "whole"), rapid.Bool().Draw(t, "sets first"))
 				now = now.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "s")) * time.Second)
 			case "repeat":
-				applyState(s, now, stream, at, true, false)
+				applyState(cache, now, stream, serverState, true, false)
 			}
-			if at < inForce && at == newest {
-				t.Fatal("the test's own fault")
+			if serverState < current && serverState == newest {
+				t.Fatal("error in the test: the server is at the newest state, which is older than the current one")
 			}
-			// A state counts once a server has stayed on it for the defer time.
-			if next := s.NextDeadline(now); !next.IsZero() && next.Before(now) {
-				t.Fatalf("due at %v, which is over", next)
+			// An older state becomes current once a server has stayed on it for the defer time.
+			if next := cache.NextDeadline(now); !next.IsZero() && next.Before(now) {
+				t.Fatalf("next deadline is %v, which is in the past", next)
 			}
-			if at < newest && rapid.IntRange(0, 9).Draw(t, "stands") == 0 {
-				now = now.Add(hold)
-				s.Advance(now)
-				inForce, newest = at, at                     // an intended rollback: the states after it never existed
-				applyState(s, now, stream, at, false, false) // endpoint sets of clusters that are present again are subscribed to
+			if serverState < newest && rapid.IntRange(0, 9).Draw(t, "stands") == 0 {
+				now = now.Add(deferTime)
+				cache.Advance(now)
+				current, newest = serverState, serverState                // an intended rollback: the later states are void
+				applyState(cache, now, stream, serverState, false, false) // the endpoint sets of clusters that are present again are now subscribed to
 				check()
 				return
 			}
 			check()
 		}
-		s.StreamEnded(stream)
-		s.StreamStarted(now, stream+1, "p")
-		applyState(s, now, stream+1, at, true, false)
-		now = now.Add(hold)
-		s.Advance(now)
-		applyState(s, now, stream+1, at, false, false)
-		inForce = at
+		cache.StreamEnded(stream)
+		cache.StreamStarted(now, stream+1, "p")
+		applyState(cache, now, stream+1, serverState, true, false)
+		now = now.Add(deferTime)
+		cache.Advance(now)
+		applyState(cache, now, stream+1, serverState, false, false)
+		current = serverState
 		check()
 	})
 }
 
-// Envoy's documentation gives these loads for two priorities at an overprovisioning factor of 1.4.
-func TestPriorityLoad(t *testing.T) {
+// The loads of two priorities are those that Envoy's documentation gives for an overprovisioning factor of 1.4.
+func TestPriorityLoadMatchesEnvoyDocumentation(t *testing.T) {
 	for _, c := range []struct {
-		healthy0, degraded0, healthy1 int // of 100 each
-		load0, degr0, load1           float64
+		healthy0, degraded0, healthy1 int // of 100 endpoints per priority
+		load0, degradedLoad0, load1   float64
 	}{
 		{100, 0, 100, 1, 0, 0}, {72, 0, 72, 1, 0, 0}, {71, 0, 71, 0.994, 0, 0.006}, {50, 0, 50, 0.7, 0, 0.3}, {25, 0, 100, 0.35, 0, 0.65},
 		{25, 0, 25, 0.5, 0, 0.5}, {0, 0, 100, 0, 0, 1}, {50, 50, 0, 0.7, 0.3, 0}, {40, 20, 20, 0.56, 0.16, 0.28},
 	} {
-		s := &EndpointSet{Overprovisioning: 1.4}
-		fill := func(level, healthy, degraded int) {
-			l := Locality{Priority: level}
+		set := &EndpointSet{Overprovisioning: 1.4}
+		addLocality := func(priority, healthy, degraded int) {
+			locality := Locality{Priority: priority}
 			for i := range 100 {
-				h := Unhealthy
+				health := Unhealthy
 				if i < healthy {
-					h = Healthy
+					health = Healthy
 				} else if i < healthy+degraded {
-					h = Degraded
+					health = Degraded
 				}
-				l.Endpoints = append(l.Endpoints, Endpoint{Address: fmt.Sprint(level, i), Weight: 1, Health: h})
+				locality.Endpoints = append(locality.Endpoints, Endpoint{Address: fmt.Sprint(priority, i), Weight: 1, Health: health})
 			}
-			s.Localities = append(s.Localities, l)
+			set.Localities = append(set.Localities, locality)
 		}
-		fill(0, c.healthy0, c.degraded0)
-		fill(1, c.healthy1, 0)
+		addLocality(0, c.healthy0, c.degraded0)
+		addLocality(1, c.healthy1, 0)
 		load, sum := map[string]float64{}, 0.0
-		for _, m := range AssignTraffic(&Cluster{PanicThreshold: 0}, s, false, AllPriorities) {
-			if m.Use == Used {
-				load[fmt.Sprint(m.Locality.Priority, m.Health)] += m.TrafficShare
-				sum += m.TrafficShare
+		for _, assigned := range AssignTraffic(&Cluster{PanicThreshold: 0}, set, false, AllPriorities) {
+			if assigned.Use == Used {
+				load[fmt.Sprint(assigned.Locality.Priority, assigned.Health)] += assigned.TrafficShare
+				sum += assigned.TrafficShare
 			}
 		}
-		for at, want := range map[string]float64{"0 healthy": c.load0, "0 degraded": c.degr0, "1 healthy": c.load1} {
+		for at, want := range map[string]float64{"0 healthy": c.load0, "0 degraded": c.degradedLoad0, "1 healthy": c.load1} {
 			if got := load[at] / sum; got < want-0.005 || got > want+0.005 {
 				t.Errorf("%+v: %s gets %.3f, want %.3f", c, at, got, want)
 			}
@@ -174,22 +174,22 @@
 	}
 }
 
-// A panic uses all endpoints that are not draining; there is none without a threshold; a stale set is unhealthy; one priority alone;
-// locality weights.
-func TestAssignTraffic(t *testing.T) {
-	one := func(address string, h Health, weight uint32) Endpoint {
-		return Endpoint{Address: address, Health: h, Weight: weight}
+// Panic mode uses all endpoints that are not draining, and a panic threshold of 0 disables it. The endpoints of a stale set count as
+// unhealthy. A single priority gets all traffic if it is selected. Locality weights apply only if the cluster enables them.
+func TestTrafficIsAssignedByPriorityHealthAndLocality(t *testing.T) {
+	endpoint := func(address string, health Health, weight uint32) Endpoint {
+		return Endpoint{Address: address, Health: health, Weight: weight}
 	}
-	set := &EndpointSet{Overprovisioning: 1.4, Localities: []Locality{{Weight: 1, Endpoints: []Endpoint{one("1", Unhealthy, 1), one("2", Draining, 1), one("3", Unhealthy, 1)}},
-		{Priority: 1, Weight: 3, Endpoints: []Endpoint{one("4", Healthy, 1), one("5", Healthy, 2)}}}}
+	set := &EndpointSet{Overprovisioning: 1.4, Localities: []Locality{{Weight: 1, Endpoints: []Endpoint{endpoint("1", Unhealthy, 1), endpoint("2", Draining, 1), endpoint("3", Unhealthy, 1)}},
+		{Priority: 1, Weight: 3, Endpoints: []Endpoint{endpoint("4", Healthy, 1), endpoint("5", Healthy, 2)}}}}
 	unhealthy := &EndpointSet{Overprovisioning: 1.4, Localities: set.Localities[:1]}
-	flat := &EndpointSet{Overprovisioning: 1.4, Localities: []Locality{{Weight: 1, Endpoints: []Endpoint{one("1", Healthy, 1)}}, {Weight: 3, Zone: "z", Endpoints: []Endpoint{one("2", Healthy, 1), one("3", Healthy, 2)}}}}
+	samePriority := &EndpointSet{Overprovisioning: 1.4, Localities: []Locality{{Weight: 1, Endpoints: []Endpoint{endpoint("1", Healthy, 1)}}, {Weight: 3, Zone: "z", Endpoints: []Endpoint{endpoint("2", Healthy, 1), endpoint("3", Healthy, 2)}}}}
 	for _, c := range []struct {
-		cluster Cluster
-		set     *EndpointSet
-		stale   bool
-		level   int
-		want    string
+		cluster  Cluster
+		set      *EndpointSet
+		stale    bool
+		priority int
+		want     string
 	}{
 		{Cluster{PanicThreshold: 0.5}, set, false, AllPriorities, "4=0.50 5=1.00"},
 		{Cluster{PanicThreshold: 0.5}, set, false, 0, "1=1.00 3=1.00"},
@@ -197,79 +197,80 @@
 		{Cluster{PanicThreshold: 0.5}, set, false, 1, "4=0.50 5=1.00"},
 		{Cluster{PanicThreshold: 0.5}, set, true, AllPriorities, "1=0.75 3=0.75 4=0.50 5=1.00"},
 		{Cluster{PanicThreshold: 0.5}, unhealthy, false, AllPriorities, "1=1.00 3=1.00"},
-		{Cluster{PanicThreshold: 0.5, LocalityWeighted: true}, flat, false, AllPriorities, "1=0.50 2=0.50 3=1.00"},
-		{Cluster{PanicThreshold: 0.5}, flat, false, AllPriorities, "1=0.50 2=0.50 3=1.00"},
+		{Cluster{PanicThreshold: 0.5, LocalityWeighted: true}, samePriority, false, AllPriorities, "1=0.50 2=0.50 3=1.00"},
+		{Cluster{PanicThreshold: 0.5}, samePriority, false, AllPriorities, "1=0.50 2=0.50 3=1.00"},
 	} {
 		var got []string
-		for _, m := range AssignTraffic(&c.cluster, c.set, c.stale, c.level) {
-			if m.Use == Used {
-				got = append(got, fmt.Sprintf("%s=%.2f", m.Address, m.TrafficShare))
+		for _, assigned := range AssignTraffic(&c.cluster, c.set, c.stale, c.priority) {
+			if assigned.Use == Used {
+				got = append(got, fmt.Sprintf("%s=%.2f", assigned.Address, assigned.TrafficShare))
 			}
 		}
 		if fmt.Sprint(got) != "["+c.want+"]" {
-			t.Errorf("%+v, level %d: %v, want %s", c.cluster, c.level, got, c.want)
+			t.Errorf("cluster %+v, priority %d: traffic shares are %v, want %s", c.cluster, c.priority, got, c.want)
 		}
 	}
-	if d := (&EndpointSet{DropOverloads: []DropOverload{{"a", 0.5}, {"b", 0.2}}}).DropFraction(); d < 0.599 || d > 0.601 {
-		t.Errorf("dropped %g", d)
+	if fraction := (&EndpointSet{DropOverloads: []DropOverload{{"a", 0.5}, {"b", 0.2}}}).DropFraction(); fraction < 0.599 || fraction > 0.601 {
+		t.Errorf("drop fraction is %g, want 0.6", fraction)
 	}
 }
 
-// A set that is too old is stale until its control plane sends it again, the same or another; one that is in use again within the
-// retention is present without a response, and later it is requested; a rejection is reported, and the resource before it stays.
-func TestStaleAndUnused(t *testing.T) {
+// An endpoint set that has reached its maximum age is stale until its control plane sends it again, changed or not. A resource that is
+// in use again within the retention time is present without a new response, and is requested again after that time. A rejected
+// update is reported, and the resource before it stays current.
+func TestStaleSetIsReportedAndUnusedResourceIsDeleted(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	s := New(Options{DeferTime: hold, ResourceTimeout: time.Second})
-	s.SetClustersInUse(now, []string{"a"})
-	s.StreamStarted(now, 1, "p")
-	set := func(n byte, after time.Duration) Response {
-		return Response{Kind: ads.Endpoints, Resources: []Resource{{Name: "s", Version: fmt.Sprint(n), Digest: updateorder.Digest{n}, Set: &EndpointSet{StaleAfter: after}}}}
+	cache := New(Options{DeferTime: deferTime, ResourceTimeout: time.Second})
+	cache.SetClustersInUse(now, []string{"a"})
+	cache.StreamStarted(now, 1, "p")
+	setResponse := func(version byte, staleAfter time.Duration) Response {
+		return Response{Kind: ads.Endpoints, Resources: []Resource{{Name: "s", Version: fmt.Sprint(version), Digest: updateorder.Digest{version}, Set: &EndpointSet{StaleAfter: staleAfter}}}}
 	}
-	view := func(state State, stale bool) {
+	checkView := func(state State, stale bool) {
 		t.Helper()
-		s.Advance(now)
-		if v := s.View(now, "a"); v.State != state || v.Stale != stale {
-			t.Errorf("%v, stale %v; want %v, %v", v.State, v.Stale, state, stale)
+		cache.Advance(now)
+		if v := cache.View(now, "a"); v.State != state || v.Stale != stale {
+			t.Errorf("view is %v with stale %v, want %v with stale %v", v.State, v.Stale, state, stale)
 		}
 	}
-	s.Apply(now, 1, Response{Kind: ads.Clusters, Resources: []Resource{{Name: "a", Digest: updateorder.Digest{1}, Cluster: &Cluster{ServiceName: "s"}}}})
-	view(Pending, false)
+	cache.Apply(now, 1, Response{Kind: ads.Clusters, Resources: []Resource{{Name: "a", Digest: updateorder.Digest{1}, Cluster: &Cluster{ServiceName: "s"}}}})
+	checkView(Pending, false)
 	now = now.Add(2 * time.Second)
-	view(Missing, false)
-	s.Apply(now, 1, set(1, 5*time.Second))
-	view(Ready, false)
-	s.TakeChanged()
-	if at := s.NextDeadline(now); !at.Equal(now.Add(5 * time.Second)) {
-		t.Errorf("next at %v", at.Sub(now))
+	checkView(Missing, false)
+	cache.Apply(now, 1, setResponse(1, 5*time.Second))
+	checkView(Ready, false)
+	cache.TakeChanged()
+	if deadline := cache.NextDeadline(now); !deadline.Equal(now.Add(5 * time.Second)) {
+		t.Errorf("next deadline in %v, want 5 s", deadline.Sub(now))
 	}
 	now = now.Add(5 * time.Second)
-	view(Ready, true)
-	if c := s.TakeChanged(); len(c) != 1 {
-		t.Errorf("changed %v", c)
+	checkView(Ready, true)
+	if c := cache.TakeChanged(); len(c) != 1 {
+		t.Errorf("changed clusters are %v, want one", c)
 	}
-	s.Apply(now, 1, set(1, 5*time.Second)) // the same, sent again
-	view(Ready, false)
-	if c := s.TakeChanged(); len(c) != 1 {
-		t.Errorf("changed %v", c)
+	cache.Apply(now, 1, setResponse(1, 5*time.Second)) // sent again without a change
+	checkView(Ready, false)
+	if c := cache.TakeChanged(); len(c) != 1 {
+		t.Errorf("changed clusters are %v, want one", c)
 	}
-	s.Apply(now, 1, set(2, 0))
-	s.SetClustersInUse(now, nil)
+	cache.Apply(now, 1, setResponse(2, 0))
+	cache.SetClustersInUse(now, nil)
 	now = now.Add(unusedRetention / 2)
-	s.Advance(now)
-	s.SetClustersInUse(now, []string{"a"})
-	view(Ready, false)
-	s.Apply(now, 1, Response{Kind: ads.Endpoints, Rejections: []Rejection{{"s", "3", "bad"}}})
-	view(Ready, false)
-	if d := s.Status(); d[1].RejectionReason != "bad" || d[1].RejectedVersion != "3" || d[1].Version != "2" || d[1].Source != "p" {
-		t.Errorf("%+v", d)
+	cache.Advance(now)
+	cache.SetClustersInUse(now, []string{"a"})
+	checkView(Ready, false)
+	cache.Apply(now, 1, Response{Kind: ads.Endpoints, Rejections: []Rejection{{"s", "3", "bad"}}})
+	checkView(Ready, false)
+	if status := cache.Status(); status[1].RejectionReason != "bad" || status[1].RejectedVersion != "3" || status[1].Version != "2" || status[1].Source != "p" {
+		t.Errorf("status is %+v, want version 2 from p and version 3 rejected as bad", status)
 	}
-	s.SetClustersInUse(now, nil)
-	s.Advance(now)
+	cache.SetClustersInUse(now, nil)
+	cache.Advance(now)
 	now = now.Add(unusedRetention)
-	s.Advance(now)
-	if d := s.Status(); len(d) != 0 {
-		t.Errorf("%+v", d)
+	cache.Advance(now)
+	if status := cache.Status(); len(status) != 0 {
+		t.Errorf("status is %+v, want no resources", status)
 	}
-	s.SetClustersInUse(now, []string{"a"})
-	view(Pending, false)
+	cache.SetClustersInUse(now, []string{"a"})
+	checkView(Pending, false)
 }
--- a/internal/xds/cache/format_test.go
+++ b/internal/xds/cache/format_test.go
@@ -7,7 +7,7 @@
 	"silvertrail/internal/testkit/golden"
 )
 
-// The control socket reports control planes and resources in the recorded form.
+// The JSON in which the control socket reports control planes and resources matches the golden file.
 func TestDumpFormat(t *testing.T) {
 	var d Dump
 	golden.Fill(&d)
--- a/internal/xds/cache/snapshot.go
+++ b/internal/xds/cache/snapshot.go
@@ -9,7 +9,7 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// SavedResource is a resource in force, as the state file holds it.
+// SavedResource is a current resource, as the state file holds it.
 type SavedResource struct {
 	Kind       ads.Kind  `codec:"Kind"`
 	Version    string    `codec:"Version"`
@@ -18,7 +18,7 @@
 	ReceivedAt time.Time `codec:"Heard"`
 }
 
-// Snapshot returns all resources that are in force and in use, in a stable order.
+// Snapshot returns all current resources that are in use, ordered by kind and name.
 func (c *Cache) Snapshot() (out []SavedResource) {
 	for k := range ads.KindCount {
 		inUse := c.subscribed(k)
@@ -32,8 +32,8 @@
 	return out
 }
 
-// Restore puts a resource in force that was saved before a restart. It keeps its age and is replaced by whatever a control plane
-// sends. It must be called before any stream starts.
+// Restore makes a resource current that was saved before a restart. The resource keeps its age, and any update that a control plane
+// sends replaces it. Restore must be called before any stream starts.
 func (c *Cache) Restore(saved SavedResource, resource Resource) {
 	e := c.entry(saved.Kind, resource.Name)
 	if e == nil {
--- a/internal/xds/cache/status.go
+++ b/internal/xds/cache/status.go
@@ -13,11 +13,11 @@
 type ResourceStatus struct {
 	Kind       string    `json:"kind"`
 	Name       string    `json:"name"`
-	Version    string    `json:"version,omitempty"` // in force
-	Source     string    `json:"from,omitempty"`    // the control plane
+	Version    string    `json:"version,omitempty"` // of the current resource
+	Source     string    `json:"from,omitempty"`    // the control plane that sent it
 	ReceivedAt time.Time `json:"heard,omitzero"`
 	State      string    `json:"state"`
-	// Of the last resource that was rejected:
+	// The last rejected update:
 	RejectionReason string    `json:"fault,omitempty"`
 	RejectedVersion string    `json:"fault_version,omitempty"`
 	RejectedAt      time.Time `json:"fault_at,omitzero"`
@@ -40,7 +40,7 @@
 	Active bool   `json:"listened"`
 }
 
-// FileStatus is the state of a file of endpoint sets.
+// FileStatus is the state of a file that holds endpoint sets.
 type FileStatus struct {
 	Path   string    `json:"path"`
 	Sets   int       `json:"sets"`
@@ -81,7 +81,7 @@
 	return status
 }
 
-// state returns an entry's state in the words of the control socket.
+// state returns an entry's state as the control socket reports it.
 func (e *entry) state() string {
 	switch {
 	case e.isPresent() && e.rejection.Reason != "":
--- a/internal/xds/cache/subscriptions.go
+++ b/internal/xds/cache/subscriptions.go
@@ -8,11 +8,11 @@
 	"silvertrail/internal/xds/ads"
 )
 
-// unusedRetention is how long a resource is kept that is not subscribed to any more. One that is subscribed to again at once, as by
-// a reload, may never have been unsubscribed from, and its control plane would not send it again.
+// unusedRetention is how long a resource is kept after its subscription ends. If a resource is subscribed to again at once, as in a
+// reload, the control plane may never have seen an unsubscription and would not send the resource again.
 const unusedRetention = 30 * time.Second
 
-// SetClustersInUse sets the clusters that are in use from now on.
+// SetClustersInUse replaces the set of clusters in use.
 func (c *Cache) SetClustersInUse(now time.Time, names []string) {
 	next := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -25,8 +25,8 @@
 	c.updateSubscriptions(now)
 }
 
-// updateSubscriptions marks what is subscribed to and has not been received, and deletes what has been unused for the retention.
-// The order of its updates is kept.
+// updateSubscriptions starts the resource timeout of resources that are subscribed to and not received, and deletes resources that
+// have been unused for unusedRetention. The update history of deleted resources stays in updateorder.
 func (c *Cache) updateSubscriptions(now time.Time) {
 	for k := range ads.KindCount {
 		subscribed := c.subscribed(k)
@@ -51,7 +51,8 @@
 	}
 }
 
-// subscribed returns the names of a kind that are in use: the clusters, and the endpoint sets that control planes send for them.
+// subscribed returns the names of a kind that are in use: the clusters in use, or the endpoint sets that control planes send for
+// them.
 func (c *Cache) subscribed(k ads.Kind) map[string]bool {
 	if k == ads.Clusters {
 		return c.inUse
@@ -65,10 +66,10 @@
 	return out
 }
 
-// Subscriptions returns the names of a kind to subscribe to, in order.
+// Subscriptions returns the names of a kind to subscribe to, sorted.
 func (c *Cache) Subscriptions(k ads.Kind) []string { return slices.Sorted(maps.Keys(c.subscribed(k))) }
 
-// Versions returns the version of each resource of a kind that is in force.
+// Versions returns the version of each current resource of a kind, by name.
 func (c *Cache) Versions(k ads.Kind) map[string]string {
 	out := map[string]string{}
 	for name, e := range c.entries[k] {
@@ -79,7 +80,7 @@
 	return out
 }
 
-// EndpointsFiles returns the files that hold endpoint sets of clusters in use, in order.
+// EndpointsFiles returns the paths of the files that hold endpoint sets of clusters in use, sorted.
 func (c *Cache) EndpointsFiles() []string {
 	out := map[string]bool{}
 	for name := range c.inUse {
--- a/internal/xds/cache/traffic.go
+++ b/internal/xds/cache/traffic.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// AssignedEndpoint is an endpoint with its part of the traffic.
+// AssignedEndpoint is an endpoint with its share of the traffic.
 type AssignedEndpoint struct {
 	Endpoint
 	Locality *Locality
 	Use      Use
-	// TrafficShare is the endpoint's part of the traffic relative to the other endpoints in use, of which the largest is 1.
+	// TrafficShare is the endpoint's share of the traffic, scaled so that the largest share of the set is 1.
 	TrafficShare float64
 }
 
@@ -20,25 +20,27 @@
 // The uses of an endpoint.
 const (
 	Used    Use = iota
-	Standby     // of a priority that is not in use now
-	Unused      // gets no new requests
+	Standby     // healthy or degraded, but without a share of the traffic now
+	Unused      // draining or unhealthy; gets no new requests
 )
 
 // AllPriorities makes AssignTraffic spread the traffic over all priorities by their health.
 const AllPriorities = -1
 
-// fractionEpsilon is below what rounding leaves of a fraction that is used up.
+// fractionEpsilon is the bound under which a remaining fraction is a rounding error and counts as 0.
 const fractionEpsilon = 1e-9
 
-// AssignTraffic says which endpoints of a set get traffic, and their shares, ordered by address. With a priority that is not
-// AllPriorities that one alone is used. The rules are those that Envoy documents for priority levels, degraded endpoints,
-// overprovisioning, locality weights and the panic threshold, except that draining endpoints get nothing even in a panic:
+// AssignTraffic returns the endpoints of a set with their shares of the traffic, ordered by address. Unless priority is
+// AllPriorities, only the endpoints of that priority get traffic. The rules are those that Envoy documents for priority levels,
+// degraded endpoints, overprovisioning, locality weights and the panic threshold, except that draining endpoints get no traffic even
+// in panic mode:
 //
-//   - A priority can take its healthy fraction times the overprovisioning factor of the traffic, at most all. First the healthy
-//     endpoints of all priorities in their order, then the degraded ones take what is left.
-//   - Where all priorities together can take less than everything, each takes a proportional part; a priority whose healthy fraction is
-//     under the panic threshold then uses all its endpoints.
-//   - Where no endpoint is healthy or degraded, all that are not draining are used alike, unless the panic threshold is 0.
+//   - The capacity of a priority is its healthy fraction times the overprovisioning factor, and at most 1. Traffic goes to the
+//     healthy endpoints of all priorities first, in order of priority. The degraded endpoints get the rest in the same way.
+//   - If the capacity of all priorities together is under 1, each gets traffic in proportion to its capacity. A priority whose
+//     healthy fraction is under the panic threshold then uses all its endpoints except draining ones.
+//   - If no endpoint is healthy or degraded, all endpoints that are not draining share the traffic regardless of priority and
+//     health, unless the panic threshold is 0.
 func AssignTraffic(c *Cluster, s *EndpointSet, stale bool, priority int) []AssignedEndpoint {
 	levels := groupByPriority(c, s, stale)
 	var inUse []*priorityLevel
@@ -63,13 +65,14 @@
 // priorityLevel holds the endpoints of one priority.
 type priorityLevel struct {
 	overprovisioning float64
-	size             float64                // all endpoints, by number or weight
-	sizeByHealth     [Unhealthy + 1]float64 // the same by health
+	size             float64                // of all endpoints: their number, or with WeightedHealth their weight
+	sizeByHealth     [Unhealthy + 1]float64 // size of the endpoints of each health
 	endpoints        [Unhealthy + 1][]AssignedEndpoint
-	load             [Unhealthy + 1]float64 // of the traffic
+	load             [Unhealthy + 1]float64 // fraction of the traffic for the endpoints of each health
 }
 
-// groupByPriority groups a set's endpoints by priority and health. Those of a stale set are unhealthy unless they drain.
+// groupByPriority groups a set's endpoints by priority and health. In a stale set, all endpoints that are not draining
+// count as unhealthy.
 func groupByPriority(c *Cluster, s *EndpointSet, stale bool) []priorityLevel {
 	var levels []priorityLevel
 	for i := range s.Localities {
@@ -82,6 +85,7 @@
 	return levels
 }
 
+// add adds the endpoints of a locality to the level.
 func (level *priorityLevel) add(c *Cluster, s *EndpointSet, locality *Locality, stale bool) {
 	total := 0.0
 	for _, e := range locality.Endpoints {
@@ -114,8 +118,8 @@
 	return min(1, level.overprovisioning*level.sizeByHealth[h]/level.size)
 }
 
-// spreadLoad gives the traffic to healthy endpoints by priority, then to degraded ones, in proportion where the capacity of all is
-// under 1.
+// spreadLoad assigns the traffic to healthy endpoints in order of priority, then to degraded ones. If the total capacity is under 1,
+// the loads are proportional to the capacities.
 func spreadLoad(levels []*priorityLevel, capacity float64) {
 	left := 1.0
 	for _, h := range []Health{Healthy, Degraded} {
@@ -129,11 +133,11 @@
 	}
 }
 
-// applyPanic uses unhealthy endpoints too where too few are healthy. The capacity is that of all levels in use.
+// applyPanic makes the level use unhealthy endpoints too if too few are healthy. The capacity is the total of all levels in use.
 func (level *priorityLevel) applyPanic(threshold, capacity float64) {
 	healthyFraction := level.sizeByHealth[Healthy] / max(level.size, 1)
 	switch {
-	case capacity == 0 && threshold > 0: // no level has a healthy endpoint: all are used alike
+	case capacity == 0 && threshold > 0: // no level has a healthy or degraded endpoint
 		level.endpoints[Healthy] = level.endpoints[Unhealthy]
 		level.endpoints[Unhealthy] = nil
 		level.load[Healthy] = float64(len(level.endpoints[Healthy]))
@@ -145,7 +149,7 @@
 	}
 }
 
-// shares divides the load of each level and health by weight, and scales the largest share to 1.
+// shares divides the load of each level and health among its endpoints by weight, and scales the shares so that the largest is 1.
 func shares(levels []priorityLevel) (out []AssignedEndpoint) {
 	largest := 0.0
 	for i := range levels {
--- a/internal/xds/cache/view.go
+++ b/internal/xds/cache/view.go
@@ -13,39 +13,39 @@
 
 // The states of a cluster.
 const (
-	Pending State = iota // it was not received yet, or its endpoints were not
-	Missing              // it did not come in time, or cannot be used
+	Pending State = iota // the cluster or its endpoint set has not been received yet
+	Missing              // the cluster or its endpoint set did not arrive in time, or was rejected
 	Ready
-	Removed // a control plane has removed it, or its endpoints
+	Removed // a control plane has removed the cluster or its endpoint set
 )
 
-// String returns the state in the words of the log and the tests.
+// String returns the state's name in the log.
 func (s State) String() string { return [...]string{"waiting", "missing", "ready", "removed"}[s] }
 
-// ClusterView is a cluster with its endpoints as they are in force. It must not be changed.
+// ClusterView is the current state of a cluster with its endpoint set. It must not be modified.
 type ClusterView struct {
 	State   State
 	Cluster *Cluster
 	Set     *EndpointSet
-	Stale   bool   // the set is older than its control plane allows
-	Reason  string // of a state that is not Ready
+	Stale   bool   // the age of the set has reached the limit that its control plane set
+	Reason  string // why the state is not Ready
 }
 
-// TakeChanged returns the clusters in use whose view may have changed since the last call, in order.
+// TakeChanged returns the clusters in use whose view may have changed since the last call, sorted.
 func (c *Cache) TakeChanged() []string {
 	out := slices.Sorted(maps.Keys(c.changed))
 	clear(c.changed)
 	return out
 }
 
-// View returns a cluster as it is in force.
+// View returns the current view of a cluster.
 func (c *Cache) View(now time.Time, name string) ClusterView {
 	e := c.entries[ads.Clusters][name]
 	switch {
 	case e == nil || e.isPending():
-		return ClusterView{State: Pending, Reason: "the cluster has not been told yet"}
+		return ClusterView{State: Pending, Reason: "the cluster has not been received yet"}
 	case e.isRemoved():
-		return ClusterView{State: Removed, Reason: "there is no such cluster"}
+		return ClusterView{State: Removed, Reason: "the control plane has removed the cluster"}
 	case !e.isPresent():
 		return ClusterView{State: Missing, Reason: e.missingReason()}
 	}
@@ -63,9 +63,9 @@
 func (c *Cache) viewOfSet(now time.Time, cluster *Cluster) ClusterView {
 	switch e := c.entries[ads.Endpoints][cluster.ServiceName]; {
 	case e == nil || e.isPending():
-		return ClusterView{State: Pending, Cluster: cluster, Reason: "the endpoints have not been told yet"}
+		return ClusterView{State: Pending, Cluster: cluster, Reason: "the endpoint set has not been received yet"}
 	case e.isRemoved():
-		return ClusterView{State: Removed, Cluster: cluster, Reason: "there are no such endpoints"}
+		return ClusterView{State: Removed, Cluster: cluster, Reason: "the control plane has removed the endpoint set"}
 	case !e.isPresent():
 		return ClusterView{State: Missing, Cluster: cluster, Reason: "endpoints: " + e.missingReason()}
 	default:
@@ -74,10 +74,10 @@
 	}
 }
 
-// missingReason says why a resource is not in force.
+// missingReason returns the reason why an entry has no current resource.
 func (e *entry) missingReason() string {
 	if e.rejection.Reason == "" {
-		return "an old word is held off"
+		return "an outdated update is deferred"
 	}
 	return e.rejection.Reason
 }
