--- a/internal/xds/cache/cache_test.go
+++ b/internal/xds/cache/cache_test.go
@@ -45,8 +45,10 @@
 	cache.Apply(now, stream, endpoints)
 }
 
+// isRemovedIn reports whether the cluster of an index is removed in a state.
 func isRemovedIn(state, cluster int) bool { return state%5 == 3+cluster }
 
+// addressOf returns the address in a cluster's endpoint set, or the cluster's state if the cluster is not ready.
 func addressOf(cache *Cache, now time.Time, cluster int) string {
 	view := cache.View(now, []string{"a", "b"}[cluster])
 	if view.State != Ready {
@@ -75,7 +77,7 @@
 					want = Removed.String()
 				}
 				if got := addressOf(cache, now, j); got != want {
-					t.Fatalf("cluster %d is %s, want %s; the server is at %d of %d", j, got, want, serverState, newest)
+					t.Fatalf("cluster %d is %s, want %s; the server is at state %d, the newest is %d", j, got, want, serverState, newest)
 				}
 			}
 		}
--- a/internal/xds/cache/resource.go
+++ b/internal/xds/cache/resource.go
@@ -30,7 +30,7 @@
 	Health  Health
 	Weight  uint32 // at least 1
 	Group   int
-	SinceMS int64
+	SinceMS int64 // start of the endpoint's process, in Unix milliseconds
 }
 
 // Locality is a group of endpoints in one location, at one priority.
