--- a/internal/xds/ads/session.go
+++ b/internal/xds/ads/session.go
@@ -1,9 +1,9 @@
-// Package ads implements the client side of one aggregated discovery stream of xDS, version 3, without I/O: in the
-// state-of-the-world and in the incremental variant. A Session holds the subscriptions, what was acknowledged, and what is to be
-// sent next.
+// Package ads implements the client side of one stream of the aggregated discovery service (ADS) of xDS version 3, without I/O. It
+// supports the state-of-the-world and the incremental variant. A Session holds the subscriptions, the accepted versions and the
+// acknowledgements that have not been sent.
 //
 // Requests are pulled one at a time with NextRequest. Changes of a subscription and acknowledgements that accumulate behind a
-// slow stream are therefore combined, and nothing grows without bound.
+// slow stream are therefore combined, and memory use is bounded.
 //
 // A Session belongs to one stream and ends with it. It is not safe for concurrent use.
 package ads
@@ -22,7 +22,7 @@
 const (
 	Clusters Kind = iota
 	Endpoints
-	KindCount // the number of kinds; also returned where a type is unknown
+	KindCount // the number of kinds; also stands for an unknown type
 )
 
 // String returns the kind's name in the control socket's output.
@@ -34,48 +34,48 @@
 // The variants of the xDS transport protocol.
 const (
 	StateOfTheWorld Variant = iota // a response holds all clusters, or all endpoint sets that have changed
-	Delta                          // a response holds what has changed and what was removed
+	Delta                          // a response holds the changed and the removed resources
 )
 
-// Request is a discovery request that is to be sent.
+// Request is a discovery request to send.
 type Request struct {
 	Kind        Kind
-	Version     string // state of the world: the version accepted last
-	Nonce       string // of the response that is answered; empty: none is
-	ErrorDetail string // the reason of a NACK; resources that could be used are in force all the same
+	Version     string // state of the world: the last accepted version
+	Nonce       string // nonce of the response that is acknowledged or rejected; empty: none
+	ErrorDetail string // the reason for a NACK; the valid resources of the response are applied nevertheless
 
-	Names                  []string          // state of the world: the whole subscription; empty in the first request: everything
+	Names                  []string          // state of the world: the whole subscription; empty in the first request: all resources
 	Subscribe, Unsubscribe []string          // incremental
 	InitialVersions        map[string]string // incremental, in the first request: cached versions by name
 }
 
 // Subscription names the resources of a kind that a client wants.
 type Subscription struct {
-	Wildcard bool // everything that the server has
+	Wildcard bool // all resources that the server has
 	Names    []string
 }
 
-// maxPendingReplies bounds the responses of a stream whose acknowledgement has not been sent.
+// maxPendingReplies limits how many unsent acknowledgements of a kind a stream may hold.
 const maxPendingReplies = 256
 
 // Errors of Receive.
 var (
 	// ErrNotSubscribed reports a response of a kind that was not requested on the stream.
-	ErrNotSubscribed = errors.New("ads: response of a type without a subscription")
-	// ErrTooManyPending reports a server that goes on sending and does not read acknowledgements.
-	ErrTooManyPending = errors.New("ads: too many responses without a sent acknowledgement")
+	ErrNotSubscribed = errors.New("ads: received a response of a resource type that was not requested")
+	// ErrTooManyPending reports a server that continues to send responses without reading acknowledgements.
+	ErrTooManyPending = errors.New("ads: too many responses have unsent acknowledgements")
 )
 
-// reply is an ACK, or a NACK where errorDetail is set.
+// reply is an ACK, or a NACK if errorDetail is set.
 type reply struct{ nonce, errorDetail string }
 
 // kindState is the state of one kind on the stream.
 type kindState struct {
-	requested       bool // the first request was sent
+	requested       bool // the first request has been sent
 	wanted          Subscription
-	subscribed      map[string]bool // as sent last
-	wildcard        bool            // as sent last
-	accepted        string          // version accepted last
+	subscribed      map[string]bool // names in the last sent subscription
+	wildcard        bool            // whether the last sent subscription was a wildcard
+	acceptedVersion string          // last accepted version
 	lastNonce       string
 	pending         []reply
 	initialVersions map[string]string
@@ -92,17 +92,18 @@
 
 // SetInitialVersions sets the cached resources of a kind with their versions. It must be called before the kind's first request.
 //
-// A server that has nothing new sends nothing, and cannot be distinguished from one that hangs. One cached cluster is therefore
-// left out, so that the server has to send it. In the state of the world, which has one version for all, no version is sent.
+// A server without changes sends nothing, and cannot be distinguished from a server that hangs. In the incremental variant the
+// first request therefore omits the version of one cached cluster, so that the server has to send that cluster. The
+// state-of-the-world variant has one version for all resources, so its first request has no version.
 func (s *Session) SetInitialVersions(k Kind, versions map[string]string) {
 	s.kinds[k].initialVersions = versions
 }
 
-// Subscribe sets what is wanted of a kind from now on.
+// Subscribe replaces the subscription of a kind.
 func (s *Session) Subscribe(k Kind, wanted Subscription) { s.kinds[k].wanted = wanted }
 
-// Receive records a response, which must be answered with Answer. An error ends the stream, except ErrNotSubscribed: that
-// response has no answer.
+// Receive records a response, which must be answered with Answer. The caller must end the stream on an error,
+// except on ErrNotSubscribed: such a response is not answered.
 func (s *Session) Receive(k Kind, nonce string) error {
 	if k >= KindCount || !s.kinds[k].requested {
 		return ErrNotSubscribed
@@ -115,37 +116,37 @@
 	return nil
 }
 
-// Answer acknowledges the response received last, or rejects it where errorDetail is not empty.
+// Answer acknowledges the last received response, or rejects it if errorDetail is not empty.
 func (s *Session) Answer(k Kind, version, errorDetail string) {
 	state := &s.kinds[k]
 	if errorDetail == "" {
-		state.accepted = version
+		state.acceptedVersion = version
 	}
 	r := reply{state.lastNonce, errorDetail}
-	if s.variant == StateOfTheWorld { // an answer to the newest response answers all before it
+	if s.variant == StateOfTheWorld { // an answer to the latest response also answers all earlier responses
 		state.pending = append(state.pending[:0], r)
 		return
 	}
 	state.pending = append(state.pending, r)
 }
 
-// NextRequest returns the next request to send; ok is false where there is none.
+// NextRequest returns the next request to send; ok is false if there is none.
 func (s *Session) NextRequest() (r Request, ok bool) {
 	for k := range KindCount {
-		if r, ok = s.nextOf(k); ok {
+		if r, ok = s.nextRequestOf(k); ok {
 			return r, true
 		}
 	}
 	return r, false
 }
 
-// nextOf returns the next request of a kind.
-func (s *Session) nextOf(k Kind) (r Request, ok bool) {
+// nextRequestOf returns the next request of a kind.
+func (s *Session) nextRequestOf(k Kind) (r Request, ok bool) {
 	state := &s.kinds[k]
 	r.Kind = k
 	first := !state.requested
 	if first && !state.wanted.Wildcard && len(state.wanted.Names) == 0 {
-		return r, false // an empty first request would subscribe to everything
+		return r, false // an empty first request would subscribe to all resources
 	}
 	names := state.wantedNames()
 	changed := state.wildcard != state.wanted.Wildcard || !maps.Equal(names, state.subscribed)
@@ -165,7 +166,7 @@
 	return r, true
 }
 
-// wantedNames returns the names wanted, none with a wildcard.
+// wantedNames returns the names in the wanted subscription. The result is empty for a wildcard.
 func (state *kindState) wantedNames() map[string]bool {
 	names := make(map[string]bool, len(state.wanted.Names))
 	if state.wanted.Wildcard {
@@ -177,7 +178,8 @@
 	return names
 }
 
-// addReply adds the oldest pending reply to a request. In the state of the world each request names the last response.
+// addReply adds the oldest pending reply to a request. In the state-of-the-world variant each request has
+// the nonce of the last response.
 func (s *Session) addReply(r *Request, state *kindState) {
 	switch {
 	case len(state.pending) > 0:
@@ -188,16 +190,16 @@
 	}
 }
 
-// addNames adds the whole subscription, for the state of the world.
+// addNames adds the version and the whole subscription, for the state-of-the-world variant.
 func (state *kindState) addNames(r *Request, names map[string]bool, first bool) {
-	r.Version = state.accepted
+	r.Version = state.acceptedVersion
 	r.Names = slices.Sorted(maps.Keys(names))
-	if state.wanted.Wildcard && !first && !state.wildcard { // after names were sent, the wildcard must be explicit
+	if state.wanted.Wildcard && !first && !state.wildcard { // once names have been sent, the wildcard must be explicit
 		r.Names = []string{"*"}
 	}
 }
 
-// addDelta adds what has changed of the subscription, for the incremental variant.
+// addDelta adds the changes of the subscription, for the incremental variant.
 func (state *kindState) addDelta(r *Request, names map[string]bool, first bool) {
 	for _, n := range slices.Sorted(maps.Keys(names)) {
 		if !state.subscribed[n] {
@@ -211,7 +213,7 @@
 	}
 	switch {
 	case first:
-		r.InitialVersions = state.initialFor(r.Kind, names)
+		r.InitialVersions = state.initialVersionsFor(r.Kind, names)
 	case state.wanted.Wildcard && !state.wildcard:
 		r.Subscribe = append(r.Subscribe, "*")
 	case !state.wanted.Wildcard && state.wildcard:
@@ -219,18 +221,18 @@
 	}
 }
 
-// initialFor returns the cached versions to send with the first request: those of wanted resources, without the first cluster
-// (see SetInitialVersions).
-func (state *kindState) initialFor(k Kind, names map[string]bool) map[string]string {
+// initialVersionsFor returns the cached versions of wanted resources, for the first request. It omits the first cluster, see
+// SetInitialVersions.
+func (state *kindState) initialVersionsFor(k Kind, names map[string]bool) map[string]string {
 	out := map[string]string{}
-	leaveOut := k == Clusters // a cluster is the smallest resource
+	omitNext := k == Clusters // clusters only: a cluster is the smallest resource to receive again
 	for _, n := range slices.Sorted(maps.Keys(state.initialVersions)) {
 		version := state.initialVersions[n]
 		if version == "" || !names[n] && !state.wanted.Wildcard {
 			continue
 		}
-		if leaveOut {
-			leaveOut = false
+		if omitNext {
+			omitNext = false
 			continue
 		}
 		out[n] = version
--- a/internal/xds/ads/session_test.go
+++ b/internal/xds/ads/session_test.go
@@ -8,72 +8,72 @@
 	"testing"
 )
 
-// runScript plays events on a session and compares the requests with those that the script expects.
+// runScript applies the events of a script to a session, and compares the requests of the session with the expected ones.
 func runScript(t *testing.T, v Variant, lines ...string) {
 	t.Helper()
-	s := NewSession(v)
+	session := NewSession(v)
 	kinds := map[string]Kind{"cds": Clusters, "eds": Endpoints}
 	for i, line := range lines {
-		f := strings.Fields(line)
-		k := kinds[f[min(1, len(f)-1)]]
-		switch f[0] {
+		fields := strings.Fields(line)
+		kind := kinds[fields[min(1, len(fields)-1)]]
+		switch fields[0] {
 		case "want":
-			w := Subscription{Names: f[2:]}
-			if slices.Equal(f[2:], []string{"*"}) {
-				w = Subscription{Wildcard: true}
+			wanted := Subscription{Names: fields[2:]}
+			if slices.Equal(fields[2:], []string{"*"}) {
+				wanted = Subscription{Wildcard: true}
 			}
-			s.Subscribe(k, w)
+			session.Subscribe(kind, wanted)
 		case "cached":
-			s.SetInitialVersions(k, map[string]string{f[2]: "v1", f[3]: "v2"})
+			session.SetInitialVersions(kind, map[string]string{fields[2]: "v1", fields[3]: "v2"})
 		case "receive":
-			if err := s.Receive(k, f[2]); err != nil {
-				t.Fatalf("line %d: %v", i, err)
+			if err := session.Receive(kind, fields[2]); err != nil {
+				t.Fatalf("line %d: Receive returned error %v", i, err)
 			}
-			s.Answer(k, f[3], strings.Join(f[4:], " "))
+			session.Answer(kind, fields[3], strings.Join(fields[4:], " "))
 		case "reject":
-			if s.Receive(k, "n") == nil {
-				t.Fatalf("line %d: accepted", i)
+			if session.Receive(kind, "n") == nil {
+				t.Fatalf("line %d: Receive accepted a response of a kind that was not requested", i)
 			}
 		case "sent":
-			r, ok := s.NextRequest()
+			r, ok := session.NextRequest()
 			got := "nothing"
 			if ok {
 				got = fmt.Sprintf("%v", r)
 			}
 			if want := strings.TrimPrefix(line, "sent "); got != want {
-				t.Fatalf("line %d: sent %s, want %s", i, got, want)
+				t.Fatalf("line %d: got request %s, want %s", i, got, want)
 			}
 		}
 	}
 }
 
 // A request is printed as {kind version nonce error-detail [names] [subscribe] [unsubscribe] map[initial versions]}.
-func TestStateOfTheWorld(t *testing.T) {
+func TestStateOfTheWorldRequestsFollowSubscriptionsAndResponses(t *testing.T) {
 	runScript(t, StateOfTheWorld,
 		"sent nothing",
 		"reject eds",
 		"want cds b a",
 		"want eds s",
 		"cached cds a b",
-		"sent {cluster    [a b] [] [] map[]}", // no version: the server sends all that it has
+		"sent {cluster    [a b] [] [] map[]}", // without a version the server sends all wanted resources
 		"sent {endpoints    [s] [] [] map[]}",
 		"sent nothing",
 		"receive cds n1 7",
 		"receive cds n2 8 bad",
 		"receive cds n3 9",
-		"sent {cluster 9 n3  [a b] [] [] map[]}", // one answer, to the newest response
+		"sent {cluster 9 n3  [a b] [] [] map[]}", // one answer, to the latest response
 		"receive cds n4 10 bad",
 		"want cds b",
 		"sent {cluster 9 n4 bad [b] [] [] map[]}",
 		"want eds",
-		"sent {endpoints    [] [] [] map[]}", // no names are left
+		"sent {endpoints    [] [] [] map[]}", // all names were unsubscribed
 		"want cds *",
 		"sent {cluster 9 n4  [*] [] [] map[]}",
 		"sent nothing",
 	)
 }
 
-func TestDelta(t *testing.T) {
+func TestDeltaRequestsFollowSubscriptionsAndPendingRepliesAreBounded(t *testing.T) {
 	runScript(t, Delta,
 		"want cds a b c",
 		"want eds s",
@@ -92,16 +92,16 @@
 		"sent {cluster    [] [b] [*] map[]}",
 		"sent nothing",
 	)
-	s := NewSession(Delta)
-	s.Subscribe(Clusters, Subscription{Wildcard: true})
-	s.NextRequest()
+	session := NewSession(Delta)
+	session.Subscribe(Clusters, Subscription{Wildcard: true})
+	session.NextRequest()
 	for i := range maxPendingReplies {
-		if err := s.Receive(Clusters, fmt.Sprint(i)); err != nil {
+		if err := session.Receive(Clusters, fmt.Sprint(i)); err != nil {
 			t.Fatal(i, err)
 		}
-		s.Answer(Clusters, "", "")
+		session.Answer(Clusters, "", "")
 	}
-	if !errors.Is(s.Receive(Clusters, "more"), ErrTooManyPending) {
-		t.Error("a server that does not read acknowledgements is not bounded")
+	if !errors.Is(session.Receive(Clusters, "more"), ErrTooManyPending) {
+		t.Error("Receive did not return ErrTooManyPending at the limit of pending replies")
 	}
 }
--- a/internal/xds/bootstrap/bootstrap.go
+++ b/internal/xds/bootstrap/bootstrap.go
@@ -16,29 +16,29 @@
 	"silvertrail/internal/xds/selection"
 )
 
-// ControlPlane is a control plane: an address, or a file.
+// ControlPlane describes where resources come from: a control-plane server, or a file.
 type ControlPlane struct {
 	Name       string
 	Address    string // host and port
-	File       string // a response in protobuf JSON that is replaced atomically; used in place of an address
-	Insecure   bool   // no TLS
+	File       string // path of a response in protobuf JSON, which is replaced atomically; used in place of Address
+	Insecure   bool   // connects without TLS
 	TLS        certs.Files
-	ServerName string // that its certificate must be valid for; empty: the host of the address
+	ServerName string // the name that the server certificate must be valid for; empty: the host of Address
 }
 
 // Options are the settings of an xDS client.
 type Options struct {
-	ControlPlanes []ControlPlane // the preferred one first
+	ControlPlanes []ControlPlane // in order of preference
 	Node          Node
 	Variant       ads.Variant
-	Wildcard      bool // all clusters are subscribed to, not only those in use
+	Wildcard      bool // subscribes to all clusters, not only to those in use
 	Selection     selection.Timing
 
-	DeferTime       time.Duration // for which an older update is deferred
-	ResourceTimeout time.Duration // after which a resource that was requested and did not come does not exist
-	KeepaliveTime   time.Duration // after which a silent connection is pinged
+	DeferTime       time.Duration // how long an older update is deferred
+	ResourceTimeout time.Duration // a requested resource that is not received within this time is treated as nonexistent
+	KeepaliveTime   time.Duration // idle time of a connection before it is pinged
 	MaxMessageBytes int
-	StateFile       string // of the last good state; empty: none
+	StateFile       string // path of the file that holds the last good state; empty: no file
 }
 
 // Node identifies this process to control planes.
@@ -53,7 +53,7 @@
 	Node          Node
 }
 
-// file is the bootstrap form (JSON with xds_servers and node, gRFC A27). Other fields are ignored.
+// file is the bootstrap file format: JSON with xds_servers and node (gRFC A27). Other fields are ignored.
 type file struct {
 	Servers []server `json:"xds_servers"`
 	Node    struct {
@@ -82,7 +82,7 @@
 	} `json:"config"`
 }
 
-// Parse reads a bootstrap file. Relative paths in it are resolved against the folder.
+// Parse parses the content of a bootstrap file. Relative paths in the file are resolved against folder.
 func Parse(text []byte, folder string) (Config, error) {
 	var parsed file
 	if err := json.Unmarshal(text, &parsed); err != nil {
@@ -91,7 +91,7 @@
 	n := parsed.Node
 	config := Config{Node: Node{n.ID, n.Cluster, n.Locality.Region, n.Locality.Zone, n.Locality.SubZone}}
 	for i, s := range parsed.Servers {
-		controlPlane, err := s.controlPlane(folder)
+		controlPlane, err := s.toControlPlane(folder)
 		if err != nil {
 			return config, fmt.Errorf("xds_servers[%d].%w", i, err)
 		}
@@ -103,22 +103,22 @@
 	return config, nil
 }
 
-// controlPlane checks a server. An error begins with the name of the field.
-func (s server) controlPlane(folder string) (ControlPlane, error) {
+// toControlPlane validates a server entry and converts it. Each error begins with the name of the invalid field.
+func (s server) toControlPlane(folder string) (ControlPlane, error) {
 	p := ControlPlane{Name: s.URI, Address: strings.TrimPrefix(s.URI, "dns:///")}
 	if host, port, err := net.SplitHostPort(p.Address); err != nil || host == "" || port == "" {
-		return p, fmt.Errorf("server_uri: %q is no address and port", s.URI)
+		return p, fmt.Errorf("server_uri: %q is not of the form host:port", s.URI)
 	}
 	if err := s.addCredentials(&p, folder); err != nil {
 		return p, err
 	}
 	if len(s.Features) > 0 && !slices.Contains(s.Features, "xds_v3") {
-		return p, errors.New("server_features: without \"xds_v3\", and version 3 alone is spoken")
+		return p, errors.New("server_features: \"xds_v3\" is missing, and only xDS version 3 is supported")
 	}
 	return p, nil
 }
 
-// addCredentials uses the first credentials of a supported type.
+// addCredentials sets the first credentials of a supported type on the control plane.
 func (s server) addCredentials(p *ControlPlane, folder string) error {
 	for _, c := range s.Credentials {
 		switch c.Type {
@@ -132,15 +132,15 @@
 				Authority:   resolve(folder, c.Config.Authority),
 			}
 			if (p.TLS.Certificate == "") != (p.TLS.Key == "") {
-				return errors.New("channel_creds: certificate_file and private_key_file go together")
+				return errors.New("channel_creds: certificate_file and private_key_file must be set together")
 			}
 			return nil
 		}
 	}
-	return errors.New("channel_creds: none of \"tls\" and \"insecure\"")
+	return errors.New("channel_creds: no supported type; expected \"tls\" or \"insecure\"")
 }
 
-// resolve returns a path relative to the folder; empty and absolute paths stay.
+// resolve joins a relative path to folder. Empty and absolute paths are returned unchanged.
 func resolve(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
--- a/internal/xds/selection/selector.go
+++ b/internal/xds/selection/selector.go
@@ -1,17 +1,19 @@
-// Package selection decides which of several control planes is active, and when each is connected to. It has no clock and does
-// no I/O.
+// Package selection decides which of several control planes is active, and when to connect to each. It does no I/O and reads no
+// clock: callers pass the current time.
 //
-// Control planes are ordered: the first is preferred, the others are fallbacks.
+// Control planes are ordered: the first is preferred, the others are fallbacks. A control plane is up once it has sent a response
+// on its current connection.
 //
 //  1. At most one control plane is active. Without cached resources the next control plane is tried as soon as one fails. With
-//     cached resources the next is tried once no control plane has been up for the response timeout.
-//  2. A control plane that has sent nothing for the response timeout since it was connected to has failed. So has one whose
-//     stream has ended.
+//     cached resources the next is tried only when the response timeout has passed without any control plane up.
+//  2. A control plane has failed if it sends nothing within the response timeout after the connection attempt, or if its stream
+//     ends.
 //  3. While a fallback is active, all control planes before it are retried. The first that has been up for its probation without
-//     a break becomes active. The probation doubles each time the control plane is lost within a probation of becoming active
-//     again, so that one that flaps is not followed.
-//  4. A control plane that has failed is retried after a backoff with full jitter, whose limit doubles with each failure: clients
-//     that lose a control plane together return spread out. Being up for as long as the limit resets it.
+//     interruption becomes active. The probation doubles each time the control plane fails within a probation of becoming active
+//     again. Clients therefore do not switch back and forth with a control plane that flaps.
+//  4. A failed control plane is retried after a backoff with full jitter. The limit of the backoff doubles with each failure. The
+//     jitter spreads the reconnections of clients that lose a control plane at the same time. The limit is reset when a control
+//     plane has been up for as long as the limit.
 package selection
 
 import (
@@ -19,28 +21,28 @@
 	"time"
 )
 
-// Timing holds the times that the package comment names.
+// Timing holds the durations that the rules in the package comment use.
 type Timing struct {
 	ResponseTimeout time.Duration
 	Probation       time.Duration
-	MinBackoff      time.Duration // limit after the first failure
-	MaxBackoff      time.Duration // limit after many
+	MinBackoff      time.Duration // backoff limit after the first failure
+	MaxBackoff      time.Duration // upper bound of the backoff limit
 }
 
 const (
 	maxProbationDoublings = 6
-	maxBackoffDoublings   = 20 // keeps the shift from overflowing; MaxBackoff is reached long before
+	maxBackoffDoublings   = 20 // prevents overflow of the shift; MaxBackoff is reached long before
 )
 
 // controlPlane is the state of one control plane.
 type controlPlane struct {
-	open       bool      // connected, or connecting
-	up         bool      // has sent something on this connection
-	since      time.Time // of the connection; once it is up, of that
-	failures   int
-	retryAt    time.Time
-	returnedAt time.Time // when it became active in place of a later one
-	flaps      int
+	open         bool      // connected or connecting
+	up           bool      // has sent a response on this connection
+	since        time.Time // start of the connection attempt; once up, the time of the first response
+	failures     int
+	retryAt      time.Time
+	failedBackAt time.Time // when it replaced a less preferred control plane as the active one; zero once it has failed
+	flaps        int
 }
 
 // Selector holds the state of all control planes. It is not safe for concurrent use.
@@ -48,25 +50,25 @@
 	timing        Timing
 	rng           *rand.Rand
 	controlPlanes []controlPlane
-	active        int // -1: none yet
+	active        int // index of the control plane that was made active last; -1: none yet
 	hasCache      bool
-	downSince     time.Time // since when none is up
+	downSince     time.Time // when the active control plane was lost with no other one up; before the first response, the creation time
 }
 
-// New returns the state before any connection. The count is that of the control planes.
+// New returns the state of count control planes before any connection.
 func New(now time.Time, count int, timing Timing, rng *rand.Rand) *Selector {
 	return &Selector{timing: timing, rng: rng, controlPlanes: make([]controlPlane, count), active: -1, downSince: now}
 }
 
-// SetCached records that there are cached resources to work with while no control plane is up.
+// SetCached records that cached resources are available while no control plane is up.
 func (s *Selector) SetCached() { s.hasCache = true }
 
-// Active returns the active control plane; ok is false where none is up.
+// Active returns the active control plane; ok is false if none is up.
 func (s *Selector) Active() (index int, ok bool) {
 	return s.active, s.active >= 0 && s.controlPlanes[s.active].up
 }
 
-// MarkUp records the first response of a control plane since it was connected to.
+// MarkUp records the first response of a control plane on its current connection.
 func (s *Selector) MarkUp(now time.Time, i int) {
 	p := &s.controlPlanes[i]
 	if !p.open || p.up {
@@ -81,12 +83,12 @@
 
 func (s *Selector) activate(now time.Time, i int) {
 	if s.active >= 0 && i < s.active {
-		s.controlPlanes[i].returnedAt = now
+		s.controlPlanes[i].failedBackAt = now
 	}
 	s.active = i
 }
 
-// MarkDown records that a control plane could not be connected to, or that its stream has ended.
+// MarkDown records that the connection to a control plane failed, or that its stream has ended.
 func (s *Selector) MarkDown(now time.Time, i int) {
 	p := &s.controlPlanes[i]
 	if !p.open {
@@ -106,21 +108,22 @@
 	}
 }
 
-// countFlap doubles the probation of a control plane that is lost within a probation of becoming active again.
+// countFlap doubles the probation of a control plane that fails within a probation of becoming active again, and otherwise resets
+// the probation.
 func (s *Selector) countFlap(now time.Time, i int) {
 	p := &s.controlPlanes[i]
-	if p.returnedAt.IsZero() {
+	if p.failedBackAt.IsZero() {
 		return
 	}
-	if now.Sub(p.returnedAt) < s.probation(i) {
+	if now.Sub(p.failedBackAt) < s.probation(i) {
 		p.flaps = min(p.flaps+1, maxProbationDoublings)
 	} else {
 		p.flaps = 0
 	}
-	p.returnedAt = time.Time{}
+	p.failedBackAt = time.Time{}
 }
 
-// fallBack makes the first control plane active that is up.
+// fallBack activates the first control plane that is up. If none is up, it records the time in downSince.
 func (s *Selector) fallBack(now time.Time) {
 	for i := range s.controlPlanes {
 		if s.controlPlanes[i].up {
@@ -131,7 +134,7 @@
 	s.downSince = now
 }
 
-// backoffLimit returns the upper end of the interval from which a backoff is drawn.
+// backoffLimit returns the upper bound of the random backoff.
 func (s *Selector) backoffLimit(failures int) time.Duration {
 	if failures == 0 {
 		return 0
@@ -139,12 +142,12 @@
 	return min(s.timing.MinBackoff<<min(failures-1, maxBackoffDoublings), s.timing.MaxBackoff)
 }
 
-// probation returns how long a control plane must have been up to become active again.
+// probation returns how long a control plane must be up before it becomes active again.
 func (s *Selector) probation(i int) time.Duration {
 	return s.timing.Probation << s.controlPlanes[i].flaps
 }
 
-// lastEligible returns the last control plane that may be connected to.
+// lastEligible returns the index of the last control plane to connect to.
 func (s *Selector) lastEligible(now time.Time) int {
 	if active, ok := s.Active(); ok {
 		return active
@@ -162,8 +165,8 @@
 	return len(s.controlPlanes) - 1
 }
 
-// Advance brings the state up to the time. It returns the control planes to connect to, which are open from now on, and those to
-// disconnect from. One that is returned in disconnect needs no MarkDown.
+// Advance applies all timeouts that have expired by now. It returns the control planes to connect to, which count as open from now
+// on, and those to disconnect from. Callers need not call MarkDown for a control plane in disconnect.
 func (s *Selector) Advance(now time.Time) (connect, disconnect []int) {
 	for i := range s.controlPlanes {
 		if p := &s.controlPlanes[i]; p.open && !p.up && now.Sub(p.since) >= s.timing.ResponseTimeout {
@@ -189,7 +192,7 @@
 	return connect, disconnect
 }
 
-// failBack makes the first control plane before the active one active that has passed its probation.
+// failBack activates the first control plane that precedes the active one and has passed its probation, if there is one.
 func (s *Selector) failBack(now time.Time) {
 	active, ok := s.Active()
 	if !ok {
@@ -203,11 +206,11 @@
 	}
 }
 
-// NextDeadline returns the time at which Advance has something to do; zero: none until an event is recorded.
+// NextDeadline returns the next time at which Advance has to be called; zero: not before another event is recorded.
 func (s *Selector) NextDeadline(now time.Time) (next time.Time) {
 	last := s.lastEligible(now)
 	consider := func(at time.Time) {
-		if at.Before(now) { // also one that was never set
+		if at.Before(now) { // a zero time, which was never set, is due now too
 			at = now
 		}
 		if next.IsZero() || at.Before(next) {
--- a/internal/xds/selection/selector_test.go
+++ b/internal/xds/selection/selector_test.go
@@ -9,185 +9,187 @@
 	"pgregory.net/rapid"
 )
 
-var rules = Timing{ResponseTimeout: 5 * time.Second, Probation: 10 * time.Second, MinBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second}
+var testTiming = Timing{ResponseTimeout: 5 * time.Second, Probation: 10 * time.Second, MinBackoff: 500 * time.Millisecond, MaxBackoff: 30 * time.Second}
 
-// simulation runs a selector over control planes that are alive or not, in steps of simulated time.
+// simulation runs a selector in steps of simulated time, with control planes that are reachable or not.
 type simulation struct {
-	s       *Selector
-	now     time.Time
-	alive   []bool
-	open    []bool
-	retries []time.Time // of the first control plane
-	changes int         // of the active one
-	last    int
+	selector      *Selector
+	now           time.Time
+	reachable     []bool
+	open          []bool
+	retries       []time.Time // times of the connection attempts to the first control plane
+	activeChanges int         // number of times that the active control plane changed
+	lastActive    int
 }
 
-func newSimulation(planes int, seed uint64) *simulation {
-	w := &simulation{now: time.Unix(1_800_000_000, 0), alive: make([]bool, planes), open: make([]bool, planes), last: -1}
-	w.s = New(w.now, planes, rules, rand.New(rand.NewPCG(seed, 1)))
-	return w
+func newSimulation(count int, seed uint64) *simulation {
+	sim := &simulation{now: time.Unix(1_800_000_000, 0), reachable: make([]bool, count), open: make([]bool, count), lastActive: -1}
+	sim.selector = New(sim.now, count, testTiming, rand.New(rand.NewPCG(seed, 1)))
+	return sim
 }
 
-func (w *simulation) step(d time.Duration) {
-	w.now = w.now.Add(d)
-	connect, drop := w.s.Advance(w.now)
-	for _, i := range drop {
-		w.open[i] = false
+func (sim *simulation) step(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	connect, disconnect := sim.selector.Advance(sim.now)
+	for _, i := range disconnect {
+		sim.open[i] = false
 	}
 	for _, i := range connect {
-		w.open[i] = true
+		sim.open[i] = true
 		if i == 0 {
-			w.retries = append(w.retries, w.now)
+			sim.retries = append(sim.retries, sim.now)
 		}
 	}
-	for i := range w.open {
+	for i := range sim.open {
 		switch {
-		case w.open[i] && w.alive[i]:
-			w.s.MarkUp(w.now, i)
-		case w.open[i]:
-			w.open[i] = false
-			w.s.MarkDown(w.now, i)
+		case sim.open[i] && sim.reachable[i]:
+			sim.selector.MarkUp(sim.now, i)
+		case sim.open[i]:
+			sim.open[i] = false
+			sim.selector.MarkDown(sim.now, i)
 		}
 	}
-	if at, ok := w.s.Active(); ok && at != w.last {
-		w.last = at
-		w.changes++
+	if active, ok := sim.selector.Active(); ok && active != sim.lastActive {
+		sim.lastActive = active
+		sim.activeChanges++
 	}
 }
 
-func (w *simulation) run(d time.Duration) {
+func (sim *simulation) run(d time.Duration) {
 	for range d / (100 * time.Millisecond) {
-		w.step(100 * time.Millisecond)
+		sim.step(100 * time.Millisecond)
 	}
 }
 
-func (w *simulation) expectActive(t *testing.T, want int) {
+func (sim *simulation) expectActive(t *testing.T, want int) {
 	t.Helper()
-	if at, ok := w.s.Active(); ok != (want >= 0) || ok && at != want {
-		t.Errorf("active is %d, %v; want %d", at, ok, want)
+	if active, ok := sim.selector.Active(); ok != (want >= 0) || ok && active != want {
+		t.Errorf("active control plane is %d, up %v; want %d", active, ok, want)
 	}
 }
 
-// The first control plane is lost and returns: with cached resources the second is used after the response timeout, and the first
-// again after its probation.
-func TestFailback(t *testing.T) {
-	w := newSimulation(3, 1)
-	w.alive = []bool{true, true, true}
-	w.run(time.Second)
-	w.expectActive(t, 0)
-	w.s.SetCached()
-	w.alive[0] = false
-	w.run(4 * time.Second)
-	w.expectActive(t, -1)
-	w.run(3 * time.Second)
-	w.expectActive(t, 1)
-	if w.open[2] {
-		t.Error("the third is connected to without need")
+// The first control plane fails and recovers. With cached resources the second becomes active after the response timeout, and the
+// first becomes active again after its probation.
+func TestPreferredControlPlaneIsActiveAgainAfterProbation(t *testing.T) {
+	sim := newSimulation(3, 1)
+	sim.reachable = []bool{true, true, true}
+	sim.run(time.Second)
+	sim.expectActive(t, 0)
+	sim.selector.SetCached()
+	sim.reachable[0] = false
+	sim.run(4 * time.Second)
+	sim.expectActive(t, -1)
+	sim.run(3 * time.Second)
+	sim.expectActive(t, 1)
+	if sim.open[2] {
+		t.Error("the third control plane is connected to while the second is active")
 	}
-	w.alive[0] = true
-	w.run(9 * time.Second)
-	w.expectActive(t, 1)
-	w.run(35 * time.Second)
-	w.expectActive(t, 0)
-	if w.open[1] {
-		t.Error("the second is still connected to")
+	sim.reachable[0] = true
+	sim.run(9 * time.Second)
+	sim.expectActive(t, 1)
+	sim.run(35 * time.Second)
+	sim.expectActive(t, 0)
+	if sim.open[1] {
+		t.Error("the second control plane is still connected to after failback to the first")
 	}
 }
 
-// Without cached resources the next control plane is tried at once.
-func TestFirstStart(t *testing.T) {
-	w := newSimulation(3, 2)
-	w.alive = []bool{false, false, true}
-	w.run(500 * time.Millisecond)
-	w.expectActive(t, 2)
+// Without cached resources the next control plane is tried as soon as one fails.
+func TestFallbackIsImmediateWithoutCachedResources(t *testing.T) {
+	sim := newSimulation(3, 2)
+	sim.reachable = []bool{false, false, true}
+	sim.run(500 * time.Millisecond)
+	sim.expectActive(t, 2)
 }
 
-// A first control plane that flaps is not followed.
-func TestFlapping(t *testing.T) {
-	w := newSimulation(2, 3)
-	w.alive = []bool{true, true}
-	w.run(time.Second)
-	w.s.SetCached()
-	for range 60 { // one hour: up for 40 s, down for 20
-		w.alive[0] = true
-		w.run(40 * time.Second)
-		w.alive[0] = false
-		w.run(20 * time.Second)
+// Guards against a switch of the active control plane each time that the preferred one flaps. Once it stays up, it becomes active
+// again.
+func TestFlappingControlPlaneCausesFewChanges(t *testing.T) {
+	sim := newSimulation(2, 3)
+	sim.reachable = []bool{true, true}
+	sim.run(time.Second)
+	sim.selector.SetCached()
+	for range 60 { // one hour: up for 40 s, down for 20 s
+		sim.reachable[0] = true
+		sim.run(40 * time.Second)
+		sim.reachable[0] = false
+		sim.run(20 * time.Second)
 	}
-	if w.changes > 20 {
-		t.Errorf("%d changes in an hour", w.changes)
+	if sim.activeChanges > 20 {
+		t.Errorf("the active control plane changed %d times in an hour, want at most 20", sim.activeChanges)
 	}
-	w.alive[0] = true
-	w.run(20 * time.Minute)
-	w.expectActive(t, 0)
+	sim.reachable[0] = true
+	sim.run(20 * time.Minute)
+	sim.expectActive(t, 0)
 }
 
-// Clients that lose their control plane together return spread out.
-func TestBackoffSpread(t *testing.T) {
+// Clients that lose their control plane at the same time spread their reconnection attempts.
+func TestReconnectionsOfManyClientsAreSpread(t *testing.T) {
 	const clients = 500
-	var all []*simulation
+	var clientSimulations []*simulation
 	for i := range clients {
-		w := newSimulation(1, uint64(i))
-		w.alive[0] = true
-		w.run(time.Minute)
-		w.alive[0], w.retries = false, nil
-		all = append(all, w)
+		sim := newSimulation(1, uint64(i))
+		sim.reachable[0] = true
+		sim.run(time.Minute)
+		sim.reachable[0], sim.retries = false, nil
+		clientSimulations = append(clientSimulations, sim)
 	}
-	for _, w := range all {
-		w.run(2 * time.Minute)
+	for _, sim := range clientSimulations {
+		sim.run(2 * time.Minute)
 	}
-	in := map[int64]int{}
-	for _, w := range all {
-		for _, at := range w.retries {
-			in[at.Unix()-all[0].now.Unix()+120]++
+	retriesBySecond := map[int64]int{}
+	for _, sim := range clientSimulations {
+		for _, at := range sim.retries {
+			retriesBySecond[at.Unix()-clientSimulations[0].now.Unix()+120]++
 		}
 	}
-	peak, late := 0, 0
-	for second, n := range in {
+	peak, total := 0, 0
+	for second, n := range retriesBySecond {
 		if second >= 10 {
 			peak = max(peak, n)
 		}
-		late += n
+		total += n
 	}
-	t.Logf("retries in each second: %v; after ten seconds %d at the most, %d in all", in, peak, late)
-	if peak > clients/5 || late > clients*30 {
-		t.Errorf("after ten seconds %d retries in one second, %d in all", peak, late)
+	t.Logf("retries by second after the failure: %v; peak after ten seconds %d, total %d", retriesBySecond, peak, total)
+	if peak > clients/5 || total > clients*30 {
+		t.Errorf("peak of %d retries in one second after the first ten, %d retries in total; want at most a fifth of the clients and 30 per client", peak, total)
 	}
 }
 
-// Whatever happens, the active control plane is up, one that is up and stays so becomes active, and NextDeadline misses no change.
-func TestInvariants(t *testing.T) {
+// Checks random sequences of failures and recoveries. The active control plane is always up. The first control plane that stays
+// reachable becomes active when Advance is called at the times of NextDeadline alone.
+func TestFirstReachableControlPlaneBecomesActive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(t, "planes")
-		w := newSimulation(n, rapid.Uint64().Draw(t, "seed"))
+		sim := newSimulation(n, rapid.Uint64().Draw(t, "seed"))
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			w.alive[rapid.IntRange(0, n-1).Draw(t, "plane")] = rapid.Bool().Draw(t, "alive")
-			if rapid.Bool().Draw(t, "known") {
-				w.s.SetCached()
+			sim.reachable[rapid.IntRange(0, n-1).Draw(t, "plane")] = rapid.Bool().Draw(t, "is reachable")
+			if rapid.Bool().Draw(t, "resources are cached") {
+				sim.selector.SetCached()
 			}
-			w.step(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
-			if at, ok := w.s.Active(); ok && (!w.open[at] || !w.alive[at]) {
-				t.Fatalf("active is %d, which is not up", at)
+			sim.step(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
+			if active, ok := sim.selector.Active(); ok && (!sim.open[active] || !sim.reachable[active]) {
+				t.Fatalf("the active control plane %d is not connected or not reachable", active)
 			}
 		}
-		if !slices.Contains(w.alive, true) {
-			w.alive[n-1] = true
+		if !slices.Contains(sim.reachable, true) {
+			sim.reachable[n-1] = true
 		}
-		spins := 0
-		for range 500 { // by NextDeadline alone
-			at := w.s.NextDeadline(w.now)
+		overdueSteps := 0
+		for range 500 { // time advances to NextDeadline alone
+			at := sim.selector.NextDeadline(sim.now)
 			if at.IsZero() {
 				break
 			}
-			if at.After(w.now) {
-				spins = 0
-			} else if spins++; spins > 2*n {
-				t.Fatalf("due at once repeatedly: %+v", w.s)
+			if at.After(sim.now) {
+				overdueSteps = 0
+			} else if overdueSteps++; overdueSteps > 2*n {
+				t.Fatalf("NextDeadline is not after the current time in too many consecutive steps: %+v", sim.selector)
 			}
-			w.step(at.Sub(w.now))
+			sim.step(at.Sub(sim.now))
 		}
-		if at, ok := w.s.Active(); !ok || at != slices.Index(w.alive, true) {
-			t.Fatalf("active is %d, %v; alive are %v", at, ok, w.alive)
+		if active, ok := sim.selector.Active(); !ok || active != slices.Index(sim.reachable, true) {
+			t.Fatalf("active control plane is %d, up %v; want the first reachable one of %v", active, ok, sim.reachable)
 		}
 	})
 }
