--- a/internal/xds/ads/session.go
+++ b/internal/xds/ads/session.go
@@ -41,7 +41,7 @@
 type Request struct {
 	Kind        Kind
 	Version     string // state of the world: the last accepted version
-	Nonce       string // nonce of the response that is acknowledged or rejected; empty: none
+	Nonce       string // nonce of the response that the request refers to; empty: none
 	ErrorDetail string // the reason for a NACK; the valid resources of the response are applied nevertheless
 
 	Names                  []string          // state of the world: the whole subscription; empty in the first request: all resources
@@ -75,7 +75,7 @@
 	wanted          Subscription
 	subscribed      map[string]bool // names in the last sent subscription
 	wildcard        bool            // whether the last sent subscription was a wildcard
-	acceptedVersion string          // last accepted version
+	acceptedVersion string          // of the last response that was not rejected
 	lastNonce       string
 	pending         []reply
 	initialVersions map[string]string
--- a/internal/xds/selection/selector.go
+++ b/internal/xds/selection/selector.go
@@ -52,7 +52,7 @@
 	controlPlanes []controlPlane
 	active        int // index of the control plane that was made active last; -1: none yet
 	hasCache      bool
-	downSince     time.Time // when the active control plane was lost with no other one up; before the first response, the creation time
+	downSince     time.Time // since when no control plane is up; initially the creation time
 }
 
 // New returns the state of count control planes before any connection.
