--- a/internal/platform/discovery/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -9,25 +9,26 @@
 	"silvertrail/internal/platform/discoverypoll"
 )
 
-// This file follows lists that an agent on the instance's host pushes. It answers at once, at no cost, with what it was
-// sent, and that counts as notified whether or not a watch is open (the platform's STANDING page). While discovery is down
-// the agent is silent; what it receives afterwards counts at once. A call that it accepted while it was silent is never
-// answered, nor is a watch that was open then.
+// This file follows lists that an agent on the instance's host pushes. The agent responds at once and at no cost with the
+// updates that it has received. An instance counts as notified of these updates whether or not a watch is open (the
+// platform's STANDING page). While discovery is down the agent does not respond. An update that it receives afterwards
+// counts as notified at once. A call that the agent accepted during the outage never gets a response, and neither does a
+// watch that was open when the outage began.
 //
-// So an instance that waits for one call learns of the return only when that call times out, and has to know of a draining
-// endpoint within its grace (250 ms by the settings so far) of the return. Short timeouts guard against that, and against
-// watches that die silently. They cost the agent nothing; an address that is no agent but a remote server gets some ten
-// calls a second while it is silent.
+// An instance with a single open call would therefore detect the end of an outage only when that call times out. It has to
+// know of a draining endpoint within the endpoint's grace (250 ms in the settings so far) after the outage. Short timeouts
+// meet this bound, and also detect watches whose connection died without an error. They cost the agent nothing. If the
+// address belongs to a remote server instead of an agent, the server gets some ten calls a second while it does not respond.
 const (
-	agentWait = 1 * time.Second // of a watch: discovery may be down for as long before it is noticed
-	// promptTimeout bounds an agent's first byte beyond the wait, and its last byte after the first.
+	agentWait = 1 * time.Second // wait of a watch; an outage of discovery is detected after this time at the latest
+	// promptTimeout bounds the time from the end of the wait to the response's first byte, and from there to its last.
 	promptTimeout = 100 * time.Millisecond
-	retryInterval = 20 * time.Millisecond // between two calls; well within discoverypoll.NotificationGrace
+	retryInterval = 20 * time.Millisecond // pause between two calls; well within discoverypoll.NotificationGrace
 
-	// A slower agent, or a longer list, is read by a call with longer timeouts.
+	// Timeouts of the call that reads a list from a slow agent, or a long list.
 	patientTimeout       = 3 * time.Second
-	patientBodyTimeout   = 1 * time.Second // from the first byte
-	patientRetryInterval = 1 * time.Second // between two of these calls
+	patientBodyTimeout   = 1 * time.Second // from the first byte to the last
+	patientRetryInterval = 1 * time.Second // pause between two of these calls
 )
 
 // followAgent follows an agent's list until ctx ends.
@@ -51,16 +52,16 @@
 	}
 }
 
-// fetchSnapshot requests the whole list until a response arrives or ctx ends: by calls with short timeouts, one after the
-// other, and beside them by one with long timeouts. The first response ends the others.
+// fetchSnapshot requests the whole list until a response arrives or ctx ends. It repeats calls with short timeouts, and
+// repeats calls with long timeouts concurrently. The first response cancels the other call.
 func (c *Client) fetchSnapshot(ctx context.Context, addr string) (endpointlist.List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	url := c.url(addr, true, discoverypoll.Call{})
 	received := make(chan endpointlist.List)
-	retry := func(by *http.Client, call discoverypoll.Call, gap time.Duration, failed func(error)) {
+	retry := func(httpClient *http.Client, call discoverypoll.Call, interval time.Duration, onFailure func(error)) {
 		for ctx.Err() == nil {
-			list, err := c.get(ctx, by, url, call)
+			list, err := c.get(ctx, httpClient, url, call)
 			if err == nil {
 				select {
 				case received <- list:
@@ -69,16 +70,16 @@
 				return
 			}
 			if ctx.Err() == nil {
-				failed(err)
+				onFailure(err)
 			}
-			c.pause(ctx, gap)
+			c.pause(ctx, interval)
 		}
 	}
 	go retry(c.http, discoverypoll.Call{FirstByteTimeout: patientTimeout, BodyTimeout: patientBodyTimeout}, patientRetryInterval, func(err error) {
 		c.logFailure(err, addr)
 	})
 	go func() {
-		c.pause(ctx, promptTimeout) // of the other call, which an agent without faults answers
+		c.pause(ctx, promptTimeout) // a working agent responds to the first call in this time
 		retry(c.probeClient, discoverypoll.Call{FirstByteTimeout: promptTimeout, BodyTimeout: promptTimeout}, retryInterval, func(error) {})
 	}()
 	select {
--- a/internal/platform/discovery/calltimeouts.go
+++ b/internal/platform/discovery/calltimeouts.go
@@ -14,19 +14,20 @@
 	"silvertrail/internal/platform/discoverypoll"
 )
 
-// maxLateTime bounds how long a request may wait to be written, and a response that has arrived to be read.
+// maxLateTime bounds how long this process may delay writing a request, or reading a response that has arrived.
 const maxLateTime = time.Second
 
-// callTimeouts are the two timeouts of a call: until the response's first byte, and from there to its last. A response that
-// stops half-way counts as notified long before a watch is given up.
+// callTimeouts are the two timeouts of a call: until the response's first byte, and from there to its last. The second is
+// shorter than the timeout of a watch, because the changes in a response that stalls half-way count as notified long before
+// a watch times out.
 type callTimeouts struct {
 	client      *Client
 	call        discoverypoll.Call
 	cancel      context.CancelCauseFunc
 	startedAt   time.Duration
-	conn        atomic.Pointer[syscall.RawConn] // of the call; nil: none yet
+	conn        atomic.Pointer[syscall.RawConn] // connection of the call; nil: none yet
 	writtenAt   atomic.Int64                    // time of the client's clock; 0: not yet
-	isDecided   atomic.Bool                     // the response has begun, or its first byte is out of time
+	isDecided   atomic.Bool                     // the response has begun, or the first timeout has expired
 	stopWaiting func() bool                     // stops the first timeout
 	begun       chan struct{}                   // closed after the first byte, if it came in time
 	stopBody    func() bool                     // stops the second timeout; set before begun is closed
@@ -54,8 +55,8 @@
 	t.writtenAt.Store(int64(max(t.client.now(), 1)))
 }
 
-// expireFirstByte ends the call without a response, unless this process is late: a request that was written late has its time
-// from then on, and a response that has arrived is read first.
+// expireFirstByte cancels a call that has no response, unless the delay is due to this process. If the request was written
+// late, its timeout starts when it was written. A response that has arrived is read first.
 func (t *callTimeouts) expireFirstByte() {
 	for range maxLateTime / timeout.CatchUp {
 		if !t.hasUnreadResponse() && !t.isWritePending() {
@@ -79,7 +80,7 @@
 	return raw != nil && socket.Unread(*raw) > 0
 }
 
-// isWritePending reports whether the call has a connection and its request is not written yet.
+// isWritePending reports whether the call has a connection but has not written its request yet.
 func (t *callTimeouts) isWritePending() bool { return t.conn.Load() != nil && t.writtenAt.Load() == 0 }
 
 // firstByte ends the first timeout and starts the second.
@@ -110,7 +111,7 @@
 	t.stopWaiting()
 }
 
-// classify wraps an error of the call with errNoResponse or errIncomplete, if it is one of these.
+// classify wraps err with errNoResponse if the first timeout has expired, or with errIncomplete if the response has begun.
 func (t *callTimeouts) classify(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(context.Cause(ctx), errNoResponse):
--- a/internal/platform/discovery/client.go
+++ b/internal/platform/discovery/client.go
@@ -1,6 +1,6 @@
-// Package discovery follows the discovery service's list of endpoints: by polling (client.go), with the times that
-// discoverypoll decides on, or from an agent that pushes (agent.go). Run is its only goroutine, beside one for each call
-// to an agent; its host passes each list on.
+// Package discovery follows the discovery service's list of endpoints. It polls the service at the times that discoverypoll
+// decides (client.go), or follows an agent that pushes (agent.go). Its only goroutines are the caller's of Run and those that
+// fetch a whole list from an agent. Each list is passed to the update function.
 package discovery
 
 import (
@@ -24,26 +24,26 @@
 
 const (
 	path         = "http://%s/registry/instances"
-	maxListBytes = 2 << 20 // some 10,000 endpoints; read completely, so it must fit the memory limit several times over
+	maxListBytes = 2 << 20 // some 10,000 endpoints; a list is read into memory whole, so the memory limit must hold several
 
-	dialTimeout = time.Second // for a connection
+	dialTimeout = time.Second // time limit for opening a connection
 
-	maxOlderLists = 4 // lists in a row older than the current one, after which discovery has restarted
+	maxOlderLists = 4 // after this many consecutive lists older than the current one, discovery must have restarted
 )
 
 // Client follows one discovery service.
 type Client struct {
-	instances      int           // of the own tier
-	mustPollIn     time.Duration // the settings' must_ask_in, if discovery answers only when polled; zero: an agent
+	instances      int           // number of instances of the own tier
+	mustPollIn     time.Duration // the settings' must_ask_in, if discovery must be polled; zero: an agent pushes
 	update         func(lbpolicy.ListKind, []endpointlist.Endpoint)
 	log            *slog.Logger
 	http           *http.Client
-	probeClient    *http.Client // for an agent that has not answered yet; nil when polling
+	probeClient    *http.Client // for short calls to an agent that has not responded yet; nil when polling
 	watchRequested chan struct{}
 	index          int64
-	olderLists     int                   // in a row
+	olderLists     int                   // consecutive lists older than index
 	poller         *discoverypoll.Poller // nil with an agent
-	beforeApply    func(context.Context) // set by tests: a list was read, and is not applied yet
+	beforeApply    func(context.Context) // set by tests; called after a list is read and before it is applied
 
 	// Replaced by tests: random numbers, the clock (time since the start), pauses between calls, timeouts of calls.
 	draw  func() float64 // in [0, 1)
@@ -56,16 +56,16 @@
 	cancelCalls context.CancelFunc // ends the calls to addr; nil: none was made
 }
 
-// New returns a client that passes lists to update. If discovery answers only when polled, mustAskIn is the settings' bound on
-// the time between polls; zero: an agent pushes. Index is the version of the current list.
-func New(addr string, mustAskIn time.Duration, index int64, members func(lbpolicy.ListKind, []endpointlist.Endpoint), log *slog.Logger) *Client {
+// New returns a client that passes lists to update. If discovery must be polled, mustPollIn is the settings' bound on the
+// time between polls. If an agent pushes, mustPollIn is zero. index is the version of the current list.
+func New(addr string, mustPollIn time.Duration, index int64, update func(lbpolicy.ListKind, []endpointlist.Endpoint), log *slog.Logger) *Client {
 	startedAt := time.Now()
-	c := &Client{addr: addr, mustPollIn: mustAskIn, update: members, log: log, index: index,
+	c := &Client{addr: addr, mustPollIn: mustPollIn, update: update, log: log, index: index,
 		http: newHTTPClient(dialTimeout), watchRequested: make(chan struct{}, 1), draw: rand.Float64, pause: pause,
 		now:   func() time.Duration { return time.Since(startedAt) },
 		after: timeout.AfterFunc}
-	if mustAskIn > 0 {
-		c.poller = discoverypoll.New(c.draw, mustAskIn)
+	if mustPollIn > 0 {
+		c.poller = discoverypoll.New(c.draw, mustPollIn)
 	} else {
 		c.probeClient = newHTTPClient(promptTimeout)
 	}
@@ -92,7 +92,7 @@
 		}}
 }
 
-// Watch begins polling, if discovery must be polled, until Run ends. It does not block.
+// Watch makes Run begin polling, if discovery must be polled. Polling continues until Run ends. Watch does not block.
 func (c *Client) Watch() {
 	select {
 	case c.watchRequested <- struct{}{}:
@@ -101,8 +101,8 @@
 }
 
 // SetAddress follows discovery at another address from now on. It does not block. The current list stays in use until the
-// new address has sent its whole list; versions at the two addresses are unrelated. An address that does not answer is
-// retried, as a discovery that is down.
+// new address has sent its whole list. Versions at the two addresses are unrelated. Calls to an address that does not respond
+// are retried, as when discovery is down.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// currentCalls returns the address and the context of calls to it; isNew reports whether none was made yet.
+// currentCalls returns the address and the context of calls to it. isNew reports that no call to the address was made yet.
 func (c *Client) currentCalls(ctx, calls context.Context) (current context.Context, address string, isNew bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,13 +152,13 @@
 	polled   bool            // polling has begun
 }
 
-// updateAddress takes the current address. A new one is asked for its whole list.
+// updateAddress switches to the current address. A changed address is asked for its whole list first.
 func (r *runState) updateAddress(ctx context.Context) {
 	c := r.client
 	calls, address, isNew := c.currentCalls(ctx, r.calls)
 	r.calls, r.address = calls, address
 	if isNew && r.started {
-		c.http.CloseIdleConnections() // those to the old address
+		c.http.CloseIdleConnections() // connections to the old address
 		r.snapshot = true
 		c.index, c.olderLists = 0, 0
 		if c.mustPollIn > 0 {
@@ -210,12 +210,12 @@
 	}
 }
 
-// errNoResponse ends a call without any response in its time. A connection that does not come up in its own, shorter time is
-// a failure instead, with backoff.
+// errNoResponse ends a call that got no byte of a response before its timeout. A connection that is not established within
+// dialTimeout, which is shorter, counts as a failure instead and is followed by backoff.
 var errNoResponse = errors.New("silent")
 
 // errIncomplete ends a call whose response began and is incomplete, or cannot be parsed.
-var errIncomplete = errors.New("answer begun")
+var errIncomplete = errors.New("response incomplete")
 
 func outcomeOf(err error) discoverypoll.Outcome {
 	switch {
@@ -229,7 +229,7 @@
 	return discoverypoll.Failed
 }
 
-// poll makes one call and applies the list that it brings.
+// poll makes one call and applies the list in its response.
 func (c *Client) poll(ctx context.Context, addr string, snapshot bool) error {
 	call := c.poller.Begin(c.now(), snapshot)
 	list, err := c.get(ctx, c.http, c.url(addr, snapshot, call), call)
@@ -248,19 +248,19 @@
 	return url
 }
 
-// apply passes a list on: the whole one, or what has changed since the current one.
+// apply passes a list to update: the whole list, or the changes since the current list.
 func (c *Client) apply(ctx context.Context, list endpointlist.List, snapshot bool) error {
 	if c.beforeApply != nil {
 		c.beforeApply(ctx)
 	}
-	if ctx.Err() != nil { // the address has changed: a list of the old one must not follow one of the new one
+	if ctx.Err() != nil { // the address has changed: a list of the old address must not follow a list of the new address
 		return ctx.Err()
 	}
 	if list.Index < c.index {
-		// Late or repeated: it could bring back endpoints that have drained. A discovery that stays behind has restarted.
+		// A late or repeated list could restore endpoints that have drained. If all lists are older, discovery has restarted.
 		c.olderLists++
 		if c.olderLists < maxOlderLists {
-			return fmt.Errorf("list %d after list %d", list.Index, c.index)
+			return fmt.Errorf("list version %d is older than current version %d", list.Index, c.index)
 		}
 	}
 	c.olderLists = 0
@@ -268,7 +268,7 @@
 	if list.Snapshot {
 		kind = lbpolicy.Full
 	} else if snapshot {
-		return errors.New("changes in place of the whole list")
+		return errors.New("whole list requested, but response holds only changes")
 	}
 	repeated := list.Index == c.index && kind == lbpolicy.Delta
 	c.index = list.Index
@@ -278,8 +278,8 @@
 	return nil
 }
 
-// get makes one call within its timeouts and returns the list that it brings.
-func (c *Client) get(ctx context.Context, by *http.Client, url string, call discoverypoll.Call) (endpointlist.List, error) {
+// get makes one call within its timeouts and returns the list in its response.
+func (c *Client) get(ctx context.Context, httpClient *http.Client, url string, call discoverypoll.Call) (endpointlist.List, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timeouts := c.startTimeouts(call, cancel)
@@ -289,7 +289,7 @@
 	if err != nil {
 		return endpointlist.List{}, err
 	}
-	resp, err := by.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return endpointlist.List{}, timeouts.classify(ctx, err)
 	}
@@ -302,7 +302,7 @@
 		return endpointlist.List{}, timeouts.classify(ctx, err)
 	}
 	if len(text) > maxListBytes {
-		return endpointlist.List{}, fmt.Errorf("a list of over %d bytes", maxListBytes)
+		return endpointlist.List{}, fmt.Errorf("list exceeds %d bytes", maxListBytes)
 	}
 	list, err := endpointlist.Parse(text)
 	if err != nil {
