--- a/internal/platform/discovery/agent_test.go
+++ b/internal/platform/discovery/agent_test.go
@@ -17,15 +17,15 @@
 // agentCall is a call that an agent has received and not answered.
 type agentCall struct {
 	net.Conn
-	query string
-	gone  chan struct{} // closed when its caller has given it up
+	query  string
+	closed chan struct{} // closed when the caller has closed the connection or sent another call
 }
 
-func (c *agentCall) answer(list string) {
+func (c *agentCall) sendList(list string) {
 	fmt.Fprintf(c.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
 
-func (c *agentCall) refuse() {
+func (c *agentCall) sendUnavailable() {
 	fmt.Fprint(c.Conn, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
@@ -34,23 +34,23 @@
 	c.Close()
 }
 
-// half responds with all but the end of a list.
-func (c *agentCall) half() {
+// sendPartialResponse responds with all but the end of a list.
+func (c *agentCall) sendPartialResponse() {
 	text := list(9, true, "half")
 	fmt.Fprintf(c.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)-5])
 }
 
-func (c *agentCall) open() bool {
+func (c *agentCall) isOpen() bool {
 	select {
-	case <-c.gone:
+	case <-c.closed:
 		return false
 	default:
 		return true
 	}
 }
 
-// agent passes each call, one to a connection, to the test.
-func agent(t *testing.T) (addr string, calls chan *agentCall) {
+// startFakeAgent passes each call, one to a connection, to the test.
+func startFakeAgent(t *testing.T) (addr string, calls chan *agentCall) {
 	t.Helper()
 	l := lbtest.Listen(t)
 	calls = make(chan *agentCall, 64)
@@ -68,10 +68,10 @@
 					if err != nil {
 						return
 					}
-					c := &agentCall{Conn: conn, query: r.URL.RawQuery, gone: make(chan struct{})}
+					c := &agentCall{Conn: conn, query: r.URL.RawQuery, closed: make(chan struct{})}
 					calls <- c
 					if _, err := br.Peek(1); err != nil { // its end, or the next call
-						close(c.gone)
+						close(c.closed)
 						return
 					}
 				}
@@ -81,7 +81,7 @@
 	return l.Addr().String(), calls
 }
 
-func next(t *testing.T, calls chan *agentCall) *agentCall {
+func nextCall(t *testing.T, calls chan *agentCall) *agentCall {
 	t.Helper()
 	select {
 	case c := <-calls:
@@ -97,24 +97,24 @@
 // and the calls after them have to be made while they are open.
 func TestAgentRecovers(t *testing.T) {
 	t.Parallel()
-	addr, calls := agent(t)
-	_, w := follow(t, addr)
-	first := next(t, calls) // hangs for good
+	addr, calls := startFakeAgent(t)
+	_, recorder := startAgentClient(t, addr)
+	first := nextCall(t, calls) // hangs for good
 	var last *agentCall
 	for range 3 {
-		last = next(t, calls)
-		if !first.open() {
+		last = nextCall(t, calls)
+		if !first.isOpen() {
 			t.Fatal("the next call came only when the first one had been given up")
 		}
 	}
 	if last.query != "" {
 		t.Errorf("asked %q, want the whole list", last.query)
 	}
-	for !w.holds("whole a") { // one may have been given up as it is answered
-		last.answer(list(5, true, "a"))
+	for !recorder.contains("whole a") { // one may have been given up as it is answered
+		last.sendList(list(5, true, "a"))
 		select {
 		case last = <-calls:
-		case <-first.gone:
+		case <-first.closed:
 		}
 	}
 }
@@ -123,34 +123,34 @@
 // is requested after it.
 func TestAgentWatchHangs(t *testing.T) {
 	t.Parallel()
-	addr, calls := agent(t)
-	_, w := follow(t, addr)
-	c := next(t, calls)
-	c.answer(list(5, true, "a"))
-	hung := next(t, calls)
+	addr, calls := startFakeAgent(t)
+	_, recorder := startAgentClient(t, addr)
+	c := nextCall(t, calls)
+	c.sendList(list(5, true, "a"))
+	hung := nextCall(t, calls)
 	var index, wait int
 	if _, err := fmt.Sscanf(hung.query, "index=%d&wait=%d", &index, &wait); err != nil || index != 5 || wait > 1000 {
 		t.Fatalf("asked %q, want a watch of a second at the most", hung.query)
 	}
-	c = next(t, calls)
-	if hung.open() {
-		<-hung.gone
+	c = nextCall(t, calls)
+	if hung.isOpen() {
+		<-hung.closed
 	}
 	if c.query != "" {
 		t.Errorf("asked %q, want the whole list", c.query)
 	}
-	c.answer(list(6, true, "b"))
-	lbtest.Until(t, "the news", func() bool { return w.holds("whole b") })
+	c.sendList(list(6, true, "b"))
+	lbtest.Until(t, "the news", func() bool { return recorder.contains("whole b") })
 }
 
 // TestAgentAddressChanges answers a call that was open when the address changed: it has no effect, whenever the response
 // arrives.
 func TestAgentAddressChanges(t *testing.T) {
 	t.Parallel()
-	from, old := agent(t)
-	to, calls := agent(t)
-	w := &told{}
-	c := New(from, 0, 0, w.members, slog.New(slog.DiscardHandler))
+	from, old := startFakeAgent(t)
+	to, calls := startFakeAgent(t)
+	recorder := &updateRecorder{}
+	c := New(from, 0, 0, recorder.record, slog.New(slog.DiscardHandler))
 	read := make(chan struct{}) // the answer is read, and not taken yet
 	var once sync.Once
 	c.beforeApply = func(ctx context.Context) {
@@ -159,13 +159,13 @@
 			<-ctx.Done()
 		})
 	}
-	run(t, c)
-	next(t, old).answer(list(90, true, "old"))
+	runClient(t, c)
+	nextCall(t, old).sendList(list(90, true, "old"))
 	<-read
 	c.SetAddress(to)
-	next(t, calls).answer(list(3, true, "new"))
-	lbtest.Until(t, "the new list", func() bool { return w.holds("whole new") })
-	if w.holds("whole old") {
-		t.Errorf("told %q", w.words)
+	nextCall(t, calls).sendList(list(3, true, "new"))
+	lbtest.Until(t, "the new list", func() bool { return recorder.contains("whole new") })
+	if recorder.contains("whole old") {
+		t.Errorf("told %q", recorder.updates)
 	}
 }
--- a/internal/platform/discovery/client.go
+++ b/internal/platform/discovery/client.go
@@ -56,16 +56,16 @@
 	cancelCalls context.CancelFunc // ends the calls to addr; nil: none was made
 }
 
-// New returns a client that passes lists to update. If discovery must be polled, mustPollIn is the settings' bound on the
-// time between polls. If an agent pushes, mustPollIn is zero. index is the version of the current list.
-func New(addr string, mustPollIn time.Duration, index int64, update func(lbpolicy.ListKind, []endpointlist.Endpoint), log *slog.Logger) *Client {
+// New returns a client that passes lists to onUpdate. If discovery must be polled, maxPollInterval is the settings' bound on the
+// time between polls. If an agent pushes, maxPollInterval is zero. index is the version of the current list.
+func New(addr string, maxPollInterval time.Duration, index int64, onUpdate func(lbpolicy.ListKind, []endpointlist.Endpoint), log *slog.Logger) *Client {
 	startedAt := time.Now()
-	c := &Client{addr: addr, mustPollIn: mustPollIn, update: update, log: log, index: index,
+	c := &Client{addr: addr, mustPollIn: maxPollInterval, update: onUpdate, log: log, index: index,
 		http: newHTTPClient(dialTimeout), watchRequested: make(chan struct{}, 1), draw: rand.Float64, pause: pause,
 		now:   func() time.Duration { return time.Since(startedAt) },
 		after: timeout.AfterFunc}
-	if mustPollIn > 0 {
-		c.poller = discoverypoll.New(c.draw, mustPollIn)
+	if maxPollInterval > 0 {
+		c.poller = discoverypoll.New(c.draw, maxPollInterval)
 	} else {
 		c.probeClient = newHTTPClient(promptTimeout)
 	}
--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -18,51 +18,51 @@
 	"silvertrail/lbpolicy"
 )
 
-// told records the updates of a client as text.
-type told struct {
-	mu    sync.Mutex
-	words []string
+// updateRecorder records the updates of a client as text.
+type updateRecorder struct {
+	mu      sync.Mutex
+	updates []string
 }
 
-func (w *told) members(kind lbpolicy.ListKind, entries []endpointlist.Endpoint) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *updateRecorder) record(kind lbpolicy.ListKind, entries []endpointlist.Endpoint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	text := fmt.Sprint([]string{"changes", "whole", "cached", "failed"}[kind])
 	for _, e := range entries {
 		text += " " + e.Name
 	}
-	w.words = append(w.words, text)
+	r.updates = append(r.updates, text)
 }
 
-func (w *told) holds(want ...string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return strings.Contains(strings.Join(w.words, "|")+"|", strings.Join(want, "|")+"|")
+func (r *updateRecorder) contains(want ...string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return strings.Contains(strings.Join(r.updates, "|")+"|", strings.Join(want, "|")+"|")
 }
 
-// first checks that an update came before all others.
-func (w *told) first(t *testing.T, want string) {
+// expectFirst checks that an update came before all others.
+func (r *updateRecorder) expectFirst(t *testing.T, want string) {
 	t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.words) == 0 || w.words[0] != want {
-		t.Errorf("told %q, want %q first", w.words, want)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.updates) == 0 || r.updates[0] != want {
+		t.Errorf("told %q, want %q first", r.updates, want)
 	}
 }
 
-// only checks that there was no other update.
-func (w *told) only(t *testing.T, want string) {
+// expectOnly checks that there was no other update.
+func (r *updateRecorder) expectOnly(t *testing.T, want string) {
 	t.Helper()
-	w.first(t, want)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.words) > 1 {
-		t.Errorf("told %q, want %q alone", w.words, want)
+	r.expectFirst(t, want)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.updates) > 1 {
+		t.Errorf("told %q, want %q alone", r.updates, want)
 	}
 }
 
-// script serves responses to calls one after the other, and repeats the last one.
-func script(t *testing.T, answers ...string) (addr string, queries func() []string) {
+// serveResponses serves responses to calls one after the other, and repeats the last one.
+func serveResponses(t *testing.T, answers ...string) (addr string, queries func() []string) {
 	t.Helper()
 	l := lbtest.Listen(t)
 	var mu sync.Mutex
@@ -102,19 +102,19 @@
 	return fmt.Sprintf(`{"index": %d, "snapshot": %t, "endpoints": [%s]}`, index, snapshot, strings.Join(entries, ","))
 }
 
-// mustAsk is the settings' bound on the time between polls.
-const mustAsk = 10 * time.Second
+// maxPollInterval is the settings' bound on the time between polls.
+const maxPollInterval = 10 * time.Second
 
-// follow runs a client of an agent.
-func follow(t *testing.T, addr string) (*Client, *told) {
+// startAgentClient runs a client of an agent.
+func startAgentClient(t *testing.T, addr string) (*Client, *updateRecorder) {
 	t.Helper()
-	w := &told{}
-	c := New(addr, 0, 0, w.members, slog.New(slog.DiscardHandler))
-	run(t, c)
-	return c, w
+	recorder := &updateRecorder{}
+	c := New(addr, 0, 0, recorder.record, slog.New(slog.DiscardHandler))
+	runClient(t, c)
+	return c, recorder
 }
 
-func run(t *testing.T, c *Client) {
+func runClient(t *testing.T, c *Client) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -126,11 +126,11 @@
 // the whole list is requested after a failure.
 func TestFollow(t *testing.T) {
 	t.Parallel()
-	addr, queries := script(t, list(5, true, "a", "b"), list(6, false, "b"), list(4, true, "old"), "down", "noise", list(7, true, "c"))
-	_, w := follow(t, addr)
-	lbtest.Until(t, "the last list", func() bool { return w.holds("whole c") })
-	if !w.holds("whole a b", "changes b", "whole c") {
-		t.Errorf("told %q", w.words)
+	addr, queries := serveResponses(t, list(5, true, "a", "b"), list(6, false, "b"), list(4, true, "old"), "down", "noise", list(7, true, "c"))
+	_, recorder := startAgentClient(t, addr)
+	lbtest.Until(t, "the last list", func() bool { return recorder.contains("whole c") })
+	if !recorder.contains("whole a b", "changes b", "whole c") {
+		t.Errorf("told %q", recorder.updates)
 	}
 	asked := queries()
 	if asked[0] != "" || !strings.HasPrefix(asked[1], "index=5&") || !strings.HasPrefix(asked[2], "index=6&") || asked[3] != "" {
@@ -141,21 +141,21 @@
 // TestDiscoveryRestarts has a discovery whose versions stay behind, as after a restart.
 func TestDiscoveryRestarts(t *testing.T) {
 	t.Parallel()
-	addr, _ := script(t, list(90, true, "a"), list(2, true, "b"))
-	_, w := follow(t, addr)
-	lbtest.Until(t, "the list of the new count", func() bool { return w.holds("whole a", "whole b") })
+	addr, _ := serveResponses(t, list(90, true, "a"), list(2, true, "b"))
+	_, recorder := startAgentClient(t, addr)
+	lbtest.Until(t, "the list of the new count", func() bool { return recorder.contains("whole a", "whole b") })
 }
 
 // TestSetAddress changes the address: the new one sends its whole list, whatever its version, and the old one is not called.
 func TestSetAddress(t *testing.T) {
 	t.Parallel()
-	first, _ := script(t, list(90, true, "a"))
-	second, queries := script(t, list(3, true, "b"))
-	c, w := follow(t, first)
-	lbtest.Until(t, "the first list", func() bool { return w.holds("whole a") })
+	first, _ := serveResponses(t, list(90, true, "a"))
+	second, queries := serveResponses(t, list(3, true, "b"))
+	c, recorder := startAgentClient(t, first)
+	lbtest.Until(t, "the first list", func() bool { return recorder.contains("whole a") })
 	c.SetAddress(first) // no move
 	c.SetAddress(second)
-	lbtest.Until(t, "the second list", func() bool { return w.holds("whole a", "whole b") })
+	lbtest.Until(t, "the second list", func() bool { return recorder.contains("whole a", "whole b") })
 	if asked := queries(); asked[0] != "" {
 		t.Errorf("asked %q", asked)
 	}
@@ -164,12 +164,12 @@
 // TestPolling checks that nothing is polled before Watch, and that a failure is followed by a pause and another call.
 func TestPolling(t *testing.T) {
 	t.Parallel()
-	addr, calls := agent(t)
-	w := &told{}
-	c := New(addr, mustAsk, 7, w.members, slog.New(slog.DiscardHandler))
+	addr, calls := startFakeAgent(t)
+	recorder := &updateRecorder{}
+	c := New(addr, maxPollInterval, 7, recorder.record, slog.New(slog.DiscardHandler))
 	c.watchRequested = make(chan struct{}) // taken only as it is waited for
-	clock := hold(c)
-	run(t, c)
+	clock := useFakeClock(c)
+	runClient(t, c)
 	select {
 	case c.watchRequested <- struct{}{}:
 	case <-calls: // unanswered: it does not get to wait to be asked
@@ -178,14 +178,14 @@
 		t.Fatal("does not wait to be asked")
 	}
 	call := func() *agentCall {
-		c := next(t, calls)
+		c := nextCall(t, calls)
 		if c.query != "index=7&wait=60000" {
 			t.Errorf("asked %q", c.query)
 		}
 		return c
 	}
-	call().refuse()
-	if d := clock.pausing(t, calls); d < time.Second {
+	call().sendUnavailable()
+	if d := clock.nextPause(t, calls); d < time.Second {
 		t.Errorf("a pause of %v after a failure", d)
 	}
 	c.Watch() // does not end the pause
@@ -193,13 +193,13 @@
 		t.Errorf("%d calls in the pause", n)
 	}
 	clock.resume <- struct{}{}
-	call().answer(list(8, false, "a"))
-	lbtest.Until(t, "changes", func() bool { return w.holds("changes a") })
-	w.only(t, "changes a")
+	call().sendList(list(8, false, "a"))
+	lbtest.Until(t, "changes", func() bool { return recorder.contains("changes a") })
+	recorder.expectOnly(t, "changes a")
 }
 
-// within receives the next value.
-func within[T any](t *testing.T, c <-chan T) (next T) {
+// receive receives the next value.
+func receive[T any](t *testing.T, c <-chan T) (next T) {
 	t.Helper()
 	select {
 	case next = <-c:
@@ -226,19 +226,19 @@
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
-	w := &told{}
-	c := New(l.Addr().String(), mustAsk, 7, w.members, slog.New(slog.DiscardHandler))
+	recorder := &updateRecorder{}
+	c := New(l.Addr().String(), maxPollInterval, 7, recorder.record, slog.New(slog.DiscardHandler))
 	c.poller.WatchTimeout = 200 * time.Millisecond
 	first := firstPause(c)
-	run(t, c)
+	runClient(t, c)
 	c.Watch()
-	lbtest.Until(t, "the news", func() bool { return w.holds("changes a") })
-	if d := within(t, first); d != 0 {
+	lbtest.Until(t, "the news", func() bool { return recorder.contains("changes a") })
+	if d := receive(t, first); d != 0 {
 		t.Errorf("the next call was put off by %v", d)
 	}
-	w.first(t, "changes a")
+	recorder.expectFirst(t, "changes a")
 	for range 2 {
-		if q := within(t, calls); q != "index=7&wait=60000" {
+		if q := receive(t, calls); q != "index=7&wait=60000" {
 			t.Errorf("asked %q, want what follows the list in hand", q)
 		}
 	}
@@ -282,20 +282,20 @@
 					}()
 				}
 			}()
-			w := &told{}
-			c := New(l.Addr().String(), mustAsk, 7, w.members, slog.New(slog.DiscardHandler))
+			recorder := &updateRecorder{}
+			c := New(l.Addr().String(), maxPollInterval, 7, recorder.record, slog.New(slog.DiscardHandler))
 			c.poller.WatchTimeout = time.Hour
 			first := firstPause(c)
-			run(t, c)
+			runClient(t, c)
 			c.Watch()
-			within(t, gave)
-			lbtest.Until(t, "the news", func() bool { return w.holds("changes a") })
-			if d := within(t, first); d >= discoverypoll.NotificationGrace {
+			receive(t, gave)
+			lbtest.Until(t, "the news", func() bool { return recorder.contains("changes a") })
+			if d := receive(t, first); d >= discoverypoll.NotificationGrace {
 				t.Errorf("the next call was put off by %v", d)
 			}
-			w.first(t, "changes a")
+			recorder.expectFirst(t, "changes a")
 			for range 2 {
-				if q := within(t, queries); !strings.HasPrefix(q, "index=7&") {
+				if q := receive(t, queries); !strings.HasPrefix(q, "index=7&") {
 					t.Errorf("asked %q, want what follows the list in hand", q)
 				}
 			}
@@ -307,7 +307,7 @@
 // so that a discovery whose host is down is not dialled by all instances without a pause.
 func TestNoConnection(t *testing.T) {
 	t.Parallel()
-	c := New("127.0.0.1:1", mustAsk, 7, (&told{}).members, slog.New(slog.DiscardHandler))
+	c := New("127.0.0.1:1", maxPollInterval, 7, (&updateRecorder{}).record, slog.New(slog.DiscardHandler))
 	c.http.Transport.(*http.Transport).DialContext = (&net.Dialer{Timeout: time.Nanosecond}).DialContext
 	if err := c.poll(t.Context(), c.addr, false); outcomeOf(err) != discoverypoll.Failed {
 		t.Errorf("%v: end %d, want a failure, which is followed by a pause", err, outcomeOf(err))
@@ -316,10 +316,10 @@
 
 func TestTooLong(t *testing.T) {
 	t.Parallel()
-	addr, queries := script(t, `{"index": 1, "snapshot": true, "endpoints": [{"name": "`+strings.Repeat("x", maxListBytes)+`"}]}`, list(2, true, "a"))
-	_, w := follow(t, addr)
-	lbtest.Until(t, "a list that fits", func() bool { return w.holds("whole a") })
-	if w.holds("whole "+strings.Repeat("x", maxListBytes)) || len(queries()) < 2 {
+	addr, queries := serveResponses(t, `{"index": 1, "snapshot": true, "endpoints": [{"name": "`+strings.Repeat("x", maxListBytes)+`"}]}`, list(2, true, "a"))
+	_, recorder := startAgentClient(t, addr)
+	lbtest.Until(t, "a list that fits", func() bool { return recorder.contains("whole a") })
+	if recorder.contains("whole "+strings.Repeat("x", maxListBytes)) || len(queries()) < 2 {
 		t.Error("a list over the bound was taken")
 	}
 }
--- a/internal/platform/discovery/clock_test.go
+++ b/internal/platform/discovery/clock_test.go
@@ -9,120 +9,120 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// held is a client's clock that the test advances. So the test knows exactly what a client waits for, over real sockets and
+// fakeClock is a client's clock that the test advances. So the test knows exactly what a client waits for, over real sockets and
 // however long these take.
-type held struct {
-	paused chan time.Duration // the pauses that it asks for
-	resume chan struct{}      // ends one
-
-	mu     sync.Mutex
-	now    time.Duration
-	bounds []*bound // of calls that are open
-	made   int
+type fakeClock struct {
+	pauses chan time.Duration // receives the length of each pause of the client
+	resume chan struct{}      // ends the current pause
+
+	mu            sync.Mutex
+	now           time.Duration
+	timers        []*fakeTimer // of calls that are open
+	timersStarted int
 }
 
-type bound struct {
+type fakeTimer struct {
 	at time.Duration
 	do func()
 }
 
-func hold(c *Client) *held {
-	h := &held{paused: make(chan time.Duration), resume: make(chan struct{})}
-	c.now, c.after = h.time, h.after
+func useFakeClock(c *Client) *fakeClock {
+	f := &fakeClock{pauses: make(chan time.Duration), resume: make(chan struct{})}
+	c.now, c.after = f.time, f.after
 	c.pause = func(ctx context.Context, d time.Duration) {
 		select {
-		case h.paused <- d:
+		case f.pauses <- d:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-h.resume:
+		case <-f.resume:
 		case <-ctx.Done():
 		}
 	}
-	return h
+	return f
 }
 
-func (h *held) time() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.now
+func (f *fakeClock) time() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.now
 }
 
-func (h *held) after(d time.Duration, do func()) func() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	b := &bound{h.now + d, do}
-	h.bounds = append(h.bounds, b)
-	h.made++
-	return func() bool { return h.drop(b) }
+func (f *fakeClock) after(d time.Duration, do func()) func() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	timer := &fakeTimer{f.now + d, do}
+	f.timers = append(f.timers, timer)
+	f.timersStarted++
+	return func() bool { return f.removeTimer(timer) }
 }
 
-// drop reports whether the timeout had not expired.
-func (h *held) drop(b *bound) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i, other := range h.bounds {
-		if other == b {
-			h.bounds = append(h.bounds[:i], h.bounds[i+1:]...)
+// removeTimer removes a timer and reports whether it had not expired or been removed yet.
+func (f *fakeClock) removeTimer(timer *fakeTimer) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i, other := range f.timers {
+		if other == timer {
+			f.timers = append(f.timers[:i], f.timers[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// bounded waits until a number of timeouts were started in all.
-func (h *held) bounded(t *testing.T, made int) {
+// awaitStartedTimers waits until the given number of timers were started in all.
+func (f *fakeClock) awaitStartedTimers(t *testing.T, want int) {
 	t.Helper()
 	lbtest.Until(t, "the bound of a call", func() bool {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return h.made >= made
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return f.timersStarted >= want
 	})
 }
 
-func (h *held) count() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.made
+func (f *fakeClock) startedTimers() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.timersStarted
 }
 
-// first returns the timeout that expires first.
-func (h *held) first() (b *bound) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, other := range h.bounds {
-		if b == nil || other.at < b.at {
-			b = other
+// firstTimer returns the timer that expires first.
+func (f *fakeClock) firstTimer() (timer *fakeTimer) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, other := range f.timers {
+		if timer == nil || other.at < timer.at {
+			timer = other
 		}
 	}
-	return b
+	return timer
 }
 
-// almost advances the clock to just before the first timeout.
-func (h *held) almost() {
-	at := h.first().at - time.Millisecond
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.now = at
+// advanceToJustBeforeExpiry advances the clock to 1 ms before the first timer expires.
+func (f *fakeClock) advanceToJustBeforeExpiry() {
+	at := f.firstTimer().at - time.Millisecond
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.now = at
 }
 
-// expire advances the clock to the first timeout, which expires.
-func (h *held) expire() {
-	b := h.first()
-	h.mu.Lock()
-	h.now = b.at
-	h.mu.Unlock()
-	if h.drop(b) {
-		b.do()
+// expireFirstTimer advances the clock to the expiry of the first timer and calls its function.
+func (f *fakeClock) expireFirstTimer() {
+	timer := f.firstTimer()
+	f.mu.Lock()
+	f.now = timer.at
+	f.mu.Unlock()
+	if f.removeTimer(timer) {
+		timer.do()
 	}
 }
 
-// pausing waits for the client's next pause. No call may be made before it.
-func (h *held) pausing(t *testing.T, calls chan *agentCall) time.Duration {
+// nextPause waits for the client's next pause and returns its length. No call may be made before it.
+func (f *fakeClock) nextPause(t *testing.T, calls chan *agentCall) time.Duration {
 	t.Helper()
 	select {
-	case d := <-h.paused:
+	case d := <-f.pauses:
 		return d
 	case c := <-calls:
 		t.Fatalf("%q came without a pause", c.query)
@@ -132,12 +132,12 @@
 	panic("unreachable")
 }
 
-// pass ends the client's current pause, which must have the given length.
-func (h *held) pass(d time.Duration) {
-	h.mu.Lock()
-	h.now += d
-	h.mu.Unlock()
-	h.resume <- struct{}{}
+// endPause advances the clock by the length of the client's current pause and ends the pause.
+func (f *fakeClock) endPause(d time.Duration) {
+	f.mu.Lock()
+	f.now += d
+	f.mu.Unlock()
+	f.resume <- struct{}{}
 }
 
 // firstPause returns the first pause of a client.
--- a/internal/platform/discovery/latereader_test.go
+++ b/internal/platform/discovery/latereader_test.go
@@ -32,13 +32,13 @@
 func TestLateReaderIsNoSilence(t *testing.T) {
 	t.Parallel()
 	for _, answers := range []bool{true, false} {
-		addr, _ := script(t, `{"index": 1, "snapshot": true, "instances": []}`)
+		addr, _ := serveResponses(t, `{"index": 1, "snapshot": true, "instances": []}`)
 		if !answers {
 			addr = lbtest.Listen(t).Addr().String() // takes connections, and answers nothing
 		}
 		var lock sync.RWMutex
 		conns := make(chan *net.TCPConn, 1)
-		c := New(addr, time.Minute, 0, (&told{}).members, slog.New(slog.DiscardHandler))
+		c := New(addr, time.Minute, 0, (&updateRecorder{}).record, slog.New(slog.DiscardHandler))
 		c.http.Transport = &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 			if err != nil {
@@ -84,24 +84,24 @@
 func TestLateWriteIsNoSilence(t *testing.T) {
 	t.Parallel()
 	const timeout, late = time.Second, 2 * time.Second
-	c := New("127.0.0.1:1", time.Minute, 0, (&told{}).members, slog.New(slog.DiscardHandler))
-	h := hold(c)
+	c := New("127.0.0.1:1", time.Minute, 0, (&updateRecorder{}).record, slog.New(slog.DiscardHandler))
+	clock := useFakeClock(c)
 	cancelled := make(chan error, 1)
 	calls := c.startTimeouts(discoverypoll.Call{FirstByteTimeout: timeout}, func(cause error) { cancelled <- cause })
-	h.mu.Lock()
-	h.now += late
-	h.mu.Unlock()
+	clock.mu.Lock()
+	clock.now += late
+	clock.mu.Unlock()
 	calls.wroteRequest(httptrace.WroteRequestInfo{})
-	overdue := h.first()
-	h.drop(overdue)
+	overdue := clock.firstTimer()
+	clock.removeTimer(overdue)
 	overdue.do()
 	if len(cancelled) > 0 {
 		t.Fatal("given up as it was written")
 	}
-	if left := h.first().at; left != late+timeout {
+	if left := clock.firstTimer().at; left != late+timeout {
 		t.Errorf("its time ends at %v", left)
 	}
-	h.expire()
+	clock.expireFirstTimer()
 	if len(cancelled) == 0 {
 		t.Error("not given up after its time")
 	}
--- a/internal/platform/discovery/term_test.go
+++ b/internal/platform/discovery/term_test.go
@@ -19,180 +19,180 @@
 // platform's STANDING page). So a call begins within 5 s of the one before, or as soon as the rest of its response was
 // awaited, and the list it brings is applied.
 
-// way is what becomes of the connections that a client dials.
-type way int32
+// dialMode is the outcome of the connections that a client hungDials.
+type dialMode int32
 
 const (
-	open way = iota
-	refuses
-	hangs
+	dialSucceeds dialMode = iota
+	dialRefused
+	dialHangs
 )
 
-// asker is a client that polls, whose clock and discovery the test controls.
-type asker struct {
-	*held
-	calls chan *agentCall
-	dials chan struct{} // those that don't come up
-	way   atomic.Int32
+// pollingClient is a client that polls, whose clock and discovery the test controls.
+type pollingClient struct {
+	*fakeClock
+	calls     chan *agentCall
+	hungDials chan struct{} // those that don't come up
+	dialMode  atomic.Int32
 }
 
-func (a *asker) dial(ctx context.Context, network, to string) (net.Conn, error) {
+func (client *pollingClient) dial(ctx context.Context, network, to string) (net.Conn, error) {
 	var d net.Dialer
-	switch way(a.way.Load()) {
-	case refuses:
+	switch dialMode(client.dialMode.Load()) {
+	case dialRefused:
 		return d.DialContext(ctx, network, "127.0.0.1:1")
-	case hangs: // as a dialer with a timeout does
+	case dialHangs: // as a dialer with a timeout does
 		over := make(chan struct{})
-		defer a.after(dialTimeout, func() { close(over) })()
-		a.dials <- struct{}{}
+		defer client.after(dialTimeout, func() { close(over) })()
+		client.hungDials <- struct{}{}
 		<-over
 		return nil, os.ErrDeadlineExceeded
 	}
 	return d.DialContext(ctx, network, to)
 }
 
-// trouble is a fault of a call.
-type trouble struct {
-	name  string
-	way   way
-	rest  time.Duration // that of the answer is waited for as long as this
-	cause func(*testing.T, *asker)
+// callFault is a fault of a call.
+type callFault struct {
+	name        string
+	dialMode    dialMode
+	bodyTimeout time.Duration // that of the answer is waited for as long as this
+	injectFault func(*testing.T, *pollingClient)
 }
 
-var troubles = []trouble{
-	{name: "never answered", cause: func(t *testing.T, a *asker) {
+var callFaults = []callFault{
+	{name: "never answered", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		next(t, a.calls)
-		a.expire()
+		nextCall(t, client.calls)
+		client.expireFirstTimer()
 	}},
-	{name: "503", cause: func(t *testing.T, a *asker) {
+	{name: "503", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		next(t, a.calls).refuse()
+		nextCall(t, client.calls).sendUnavailable()
 	}},
-	{name: "503 at the last moment", cause: func(t *testing.T, a *asker) {
+	{name: "503 at the last moment", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		c := next(t, a.calls)
-		a.almost()
-		c.refuse()
+		c := nextCall(t, client.calls)
+		client.advanceToJustBeforeExpiry()
+		c.sendUnavailable()
 	}},
-	{name: "reset", cause: func(t *testing.T, a *asker) {
+	{name: "reset", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		next(t, a.calls).reset()
+		nextCall(t, client.calls).reset()
 	}},
-	{name: "reset at the last moment", cause: func(t *testing.T, a *asker) {
+	{name: "reset at the last moment", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		c := next(t, a.calls)
-		a.almost()
+		c := nextCall(t, client.calls)
+		client.advanceToJustBeforeExpiry()
 		c.reset()
 	}},
-	{name: "closed", cause: func(t *testing.T, a *asker) {
+	{name: "closed", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		next(t, a.calls).Close()
+		nextCall(t, client.calls).Close()
 	}},
-	{name: "closed after half an answer", cause: func(t *testing.T, a *asker) {
+	{name: "closed after half an answer", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		c := next(t, a.calls)
-		c.half()
+		c := nextCall(t, client.calls)
+		c.sendPartialResponse()
 		c.Close()
 	}},
-	{name: "half an answer and no more", rest: time.Second, cause: func(t *testing.T, a *asker) {
+	{name: "half an answer and no more", bodyTimeout: time.Second, injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		stall(t, a, next(t, a.calls))
+		stallResponse(t, client, nextCall(t, client.calls))
 	}},
-	{name: "half an answer at the last moment and no more", rest: time.Second, cause: func(t *testing.T, a *asker) {
+	{name: "half an answer at the last moment and no more", bodyTimeout: time.Second, injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
-		c := next(t, a.calls)
-		a.almost()
-		stall(t, a, c)
+		c := nextCall(t, client.calls)
+		client.advanceToJustBeforeExpiry()
+		stallResponse(t, client, c)
 	}},
-	{name: "refused", way: refuses, cause: func(*testing.T, *asker) {}},
-	{name: "no connection", way: hangs, cause: func(t *testing.T, a *asker) {
+	{name: "refused", dialMode: dialRefused, injectFault: func(*testing.T, *pollingClient) {}},
+	{name: "no connection", dialMode: dialHangs, injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		select {
-		case <-a.dials:
+		case <-client.hungDials:
 		case <-time.After(lbtest.Wait):
 			t.Fatal("no connection is dialled")
 		}
-		a.expire()
+		client.expireFirstTimer()
 	}},
 }
 
-func stall(t *testing.T, a *asker, c *agentCall) {
+func stallResponse(t *testing.T, client *pollingClient, c *agentCall) {
 	t.Helper()
-	made := a.count()
-	c.half()
-	a.bounded(t, made+1) // it has begun to come
-	a.expire()
+	started := client.startedTimers()
+	c.sendPartialResponse()
+	client.awaitStartedTimers(t, started+1) // it has begun to come
+	client.expireFirstTimer()
 }
 
 // TestNotifiedAfter polls discovery with each fault six times in a row, and with all in turn; by calls for changes and, after a
 // change of address, by calls for the whole list.
 func TestNotifiedAfter(t *testing.T) {
 	t.Parallel()
-	days := map[string][]trouble{"all in turn": troubles}
-	for _, tr := range troubles {
-		days[tr.name] = []trouble{tr, tr, tr, tr, tr, tr}
+	sequences := map[string][]callFault{"all in turn": callFaults}
+	for _, fault := range callFaults {
+		sequences[fault.name] = []callFault{fault, fault, fault, fault, fault, fault}
 	}
-	for name, day := range days {
-		for _, moves := range []bool{false, true} {
-			if moves {
+	for name, faults := range sequences {
+		for _, addressChanges := range []bool{false, true} {
+			if addressChanges {
 				name += ", whole list"
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				notifiedAfter(t, day, moves)
+				notifiedAfter(t, faults, addressChanges)
 			})
 		}
 	}
 }
 
-func notifiedAfter(t *testing.T, day []trouble, moves bool) {
+func notifiedAfter(t *testing.T, faults []callFault, addressChanges bool) {
 	t.Helper()
-	addr, calls := agent(t)
-	from, old := addr, calls
-	if moves {
-		from, old = agent(t)
+	addr, calls := startFakeAgent(t)
+	oldAddr, oldCalls := addr, calls
+	if addressChanges {
+		oldAddr, oldCalls = startFakeAgent(t)
 	}
-	w := &told{}
-	c := New(from, mustAsk, 7, w.members, slog.New(slog.DiscardHandler))
+	recorder := &updateRecorder{}
+	c := New(oldAddr, maxPollInterval, 7, recorder.record, slog.New(slog.DiscardHandler))
 	c.draw = func() float64 { return 0.999 } // the latest that it may be
-	c.poller = discoverypoll.New(c.draw, mustAsk)
-	a := &asker{held: hold(c), calls: calls, dials: make(chan struct{}, 1)}
-	c.http.Transport.(*http.Transport).DialContext = a.dial
-	if !moves {
-		a.way.Store(int32(day[0].way))
+	c.poller = discoverypoll.New(c.draw, maxPollInterval)
+	client := &pollingClient{fakeClock: useFakeClock(c), calls: calls, hungDials: make(chan struct{}, 1)}
+	c.http.Transport.(*http.Transport).DialContext = client.dial
+	if !addressChanges {
+		client.dialMode.Store(int32(faults[0].dialMode))
 	}
-	run(t, c)
+	runClient(t, c)
 	c.Watch() // once
-	if moves {
-		next(t, old)
-		a.way.Store(int32(day[0].way))
+	if addressChanges {
+		nextCall(t, oldCalls)
+		client.dialMode.Store(int32(faults[0].dialMode))
 		c.SetAddress(addr)
 	}
-	for n, tr := range day {
-		begun := a.time()
-		tr.cause(t, a)
-		d := a.pausing(t, calls)
-		took := a.time() - begun + d
-		if most := 5*time.Second + 20*time.Millisecond + tr.rest; took > most {
-			t.Errorf("call %d, %s: the next begins %v after it, want %v at the most", n, tr.name, took, most)
+	for n, fault := range faults {
+		startedAt := client.time()
+		fault.injectFault(t, client)
+		pauseLength := client.nextPause(t, calls)
+		interval := client.time() - startedAt + pauseLength
+		if maxInterval := 5*time.Second + 20*time.Millisecond + fault.bodyTimeout; interval > maxInterval {
+			t.Errorf("call %d, %s: the next begins %v after it, want %v at the most", n, fault.name, interval, maxInterval)
 		}
-		after := open
-		if n+1 < len(day) {
-			after = day[n+1].way
+		nextMode := dialSucceeds
+		if n+1 < len(faults) {
+			nextMode = faults[n+1].dialMode
 		}
-		a.way.Store(int32(after))
-		a.pass(d)
+		client.dialMode.Store(int32(nextMode))
+		client.endPause(pauseLength)
 	}
-	last := next(t, calls)
+	last := nextCall(t, calls)
 	query, text, want := "index=7&wait=", list(8, false, "a"), "changes a"
-	if moves {
+	if addressChanges {
 		query, text, want = "", list(3, true, "a"), "whole a"
 	}
-	if !strings.HasPrefix(last.query, query) || moves && last.query != "" {
+	if !strings.HasPrefix(last.query, query) || addressChanges && last.query != "" {
 		t.Errorf("asked %q, want %q", last.query, query)
 	}
-	last.answer(text)
-	lbtest.Until(t, "the news", func() bool { return w.holds(want) })
-	w.only(t, want)
+	last.sendList(text)
+	lbtest.Until(t, "the news", func() bool { return recorder.contains(want) })
+	recorder.expectOnly(t, want)
 }
