--- a/internal/platform/discovery/agent_term_test.go
+++ b/internal/platform/discovery/agent_term_test.go
@@ -16,18 +16,18 @@
 
 // agentFaults are the faults of an agent; nil: it rejects connections.
 var agentFaults = map[string]func(*agentCall){
-	"silent":                      func(*agentCall) {},
-	"half an answer and no more":  (*agentCall).sendPartialResponse,
-	"closed after half an answer": func(c *agentCall) { c.sendPartialResponse(); c.Close() },
-	"503":                         (*agentCall).sendUnavailable,
-	"reset":                       (*agentCall).reset,
-	"closed":                      func(c *agentCall) { c.Close() },
-	"refused":                     nil,
+	"silent":                       func(*agentCall) {},
+	"half a response and no more":  (*agentCall).sendPartialResponse,
+	"closed after half a response": func(c *agentCall) { c.sendPartialResponse(); c.Close() },
+	"503":                          (*agentCall).sendUnavailable,
+	"reset":                        (*agentCall).reset,
+	"closed":                       func(c *agentCall) { c.Close() },
+	"refused":                      nil,
 }
 
-// TestAgentNotifiedAfter causes faults of an agent at the first call, at a watch, and at a change of address: it is called again
-// while a call callHangs, or after it, and the next call that it answers brings the changes. No call lasts as long as what counts
-// as notified 6 s after the agent had it and could be reached.
+// TestAgentNotifiedAfter injects faults of an agent at the first call, at a watch, and at a change of address. The client must
+// call the agent again while a call hangs, or after the call failed, and must apply the next list that it receives. A change
+// counts as notified 6 s after the agent received it and was reachable, so no call may last that long.
 func TestAgentNotifiedAfter(t *testing.T) {
 	t.Parallel()
 	for name, injectFault := range agentFaults {
@@ -65,7 +65,7 @@
 		nextCall(t, calls).sendList(list(5, true, "a"))
 		lbtest.Until(t, "the first list", func() bool { return recorder.contains("whole a") })
 		refuseDials.Store(injectFault == nil)
-		if at == "watch" && injectFault == nil { // it is open already
+		if at == "watch" && injectFault == nil { // the watch is already connected
 			nextCall(t, calls).reset()
 		}
 	}
@@ -73,28 +73,28 @@
 		addr, calls = startFakeAgent(t)
 		c.SetAddress(addr)
 	}
-	var first *agentCall
+	var firstCall *agentCall
 	callHangs := strings.HasPrefix(t.Name(), "TestAgentToldAfter/silent") || strings.Contains(t.Name(), "no_more")
 	for n := range 4 {
 		if injectFault == nil {
 			select {
 			case <-dials:
 			case <-time.After(lbtest.Wait):
-				t.Fatal("no connection is dialled")
+				t.Fatal("no connection was dialled")
 			}
 			continue
 		}
 		call := nextCall(t, calls)
 		injectFault(call)
 		if n == 0 {
-			first = call
+			firstCall = call
 		}
-		if n == 1 && callHangs && at != "watch" && !first.isOpen() {
-			t.Error("the next call came only when the first one had been given up")
+		if n == 1 && callHangs && at != "watch" && !firstCall.isOpen() {
+			t.Error("the second call was made only after the first call had timed out")
 		}
 	}
 	refuseDials.Store(false)
-	lbtest.Until(t, "the news", func() bool {
+	lbtest.Until(t, "the list sent after the fault", func() bool {
 		select {
 		case c := <-calls:
 			c.sendList(list(9, true, "b"))
@@ -103,14 +103,14 @@
 		return recorder.contains("whole b")
 	})
 	if recorder.contains("whole half") || at != "first" != recorder.contains("whole a", "whole b") {
-		t.Errorf("told %q", recorder.updates)
+		t.Errorf("updates %q", recorder.updates)
 	}
 	if timeout, pause := longestTimes(); timeout+patientBodyTimeout+pause > discoverypoll.NotifiedAfter-time.Second {
-		t.Errorf("the next call may come %v after the begin of one, and %v later where its answer has begun", timeout+pause, patientBodyTimeout)
+		t.Errorf("the next call may begin up to %v after the start of a call, plus %v if the response has begun", timeout+pause, patientBodyTimeout)
 	}
 }
 
-// recordLongestTimes returns the longest timeout of a call and the longest pause of a client.
+// recordLongestTimes records a client's timeouts and pauses. The returned function returns the longest of each.
 func recordLongestTimes(c *Client) func() (timeout, pause time.Duration) {
 	var maxTimeout, maxPause atomic.Int64
 	recordMax := func(maximum *atomic.Int64, d time.Duration) {
--- a/internal/platform/discovery/agent_test.go
+++ b/internal/platform/discovery/agent_test.go
@@ -14,11 +14,11 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// agentCall is a call that an agent has received and not answered.
+// agentCall is a call that a fake agent has received. The test decides on the response.
 type agentCall struct {
 	net.Conn
 	query  string
-	closed chan struct{} // closed when the caller has closed the connection or sent another call
+	closed chan struct{} // closed when the caller has closed the connection
 }
 
 func (c *agentCall) sendList(list string) {
@@ -34,7 +34,7 @@
 	c.Close()
 }
 
-// sendPartialResponse responds with all but the end of a list.
+// sendPartialResponse sends a response without the last 5 bytes of its list.
 func (c *agentCall) sendPartialResponse() {
 	text := list(9, true, "half")
 	fmt.Fprintf(c.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)-5])
@@ -49,7 +49,7 @@
 	}
 }
 
-// startFakeAgent passes each call, one to a connection, to the test.
+// startFakeAgent starts an agent that passes each call to the test.
 func startFakeAgent(t *testing.T) (addr string, calls chan *agentCall) {
 	t.Helper()
 	l := lbtest.Listen(t)
@@ -70,7 +70,7 @@
 					}
 					c := &agentCall{Conn: conn, query: r.URL.RawQuery, closed: make(chan struct{})}
 					calls <- c
-					if _, err := br.Peek(1); err != nil { // its end, or the next call
+					if _, err := br.Peek(1); err != nil { // waits for the end of the connection, or for the next call
 						close(c.closed)
 						return
 					}
@@ -87,30 +87,30 @@
 	case c := <-calls:
 		return c
 	case <-time.After(lbtest.Wait):
-		t.Fatal("no call")
+		t.Fatal("no call was made")
 		panic("unreachable")
 	}
 }
 
-// TestAgentRecovers has an agent that is silent while discovery is down, and never answers calls of that time. What it receives
-// afterwards counts as notified at once, so an instance must call again while its calls still hang. Here they never end,
-// and the calls after them have to be made while they are open.
-func TestAgentRecovers(t *testing.T) {
+// While discovery is down, an agent never responds to the calls that it accepts. A change that it receives after the outage
+// counts as notified at once, so the client must make new calls while earlier ones still hang. In this test the first call
+// never ends.
+func TestAgentIsCalledAgainWhileCallHangs(t *testing.T) {
 	t.Parallel()
 	addr, calls := startFakeAgent(t)
 	_, recorder := startAgentClient(t, addr)
-	first := nextCall(t, calls) // hangs for good
+	first := nextCall(t, calls) // never gets a response
 	var last *agentCall
 	for range 3 {
 		last = nextCall(t, calls)
 		if !first.isOpen() {
-			t.Fatal("the next call came only when the first one had been given up")
+			t.Fatal("the next call was made only after the first call had timed out")
 		}
 	}
 	if last.query != "" {
-		t.Errorf("asked %q, want the whole list", last.query)
+		t.Errorf("query %q, want none, for the whole list", last.query)
 	}
-	for !recorder.contains("whole a") { // one may have been given up as it is answered
+	for !recorder.contains("whole a") { // a call may time out while its response is sent
 		last.sendList(list(5, true, "a"))
 		select {
 		case last = <-calls:
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestAgentWatchHangs has a watch that is open when discovery goes down and is never answered: it is short, and the whole list
-// is requested after it.
-func TestAgentWatchHangs(t *testing.T) {
+// A watch that is open when discovery goes down never gets a response. Its wait must be 1 s at the most, and the whole list
+// must be requested after it.
+func TestHungAgentWatchIsFollowedBySnapshot(t *testing.T) {
 	t.Parallel()
 	addr, calls := startFakeAgent(t)
 	_, recorder := startAgentClient(t, addr)
@@ -130,28 +130,27 @@
 	hung := nextCall(t, calls)
 	var index, wait int
 	if _, err := fmt.Sscanf(hung.query, "index=%d&wait=%d", &index, &wait); err != nil || index != 5 || wait > 1000 {
-		t.Fatalf("asked %q, want a watch of a second at the most", hung.query)
+		t.Fatalf("query %q, want a watch after version 5 of 1 s at the most", hung.query)
 	}
 	c = nextCall(t, calls)
 	if hung.isOpen() {
 		<-hung.closed
 	}
 	if c.query != "" {
-		t.Errorf("asked %q, want the whole list", c.query)
+		t.Errorf("query %q, want none, for the whole list", c.query)
 	}
 	c.sendList(list(6, true, "b"))
-	lbtest.Until(t, "the news", func() bool { return recorder.contains("whole b") })
+	lbtest.Until(t, "the list of version 6", func() bool { return recorder.contains("whole b") })
 }
 
-// TestAgentAddressChanges answers a call that was open when the address changed: it has no effect, whenever the response
-// arrives.
-func TestAgentAddressChanges(t *testing.T) {
+// The response to a call that was open when the address changed must have no effect, even if its list has been read already.
+func TestListFromFormerAgentAddressIsIgnored(t *testing.T) {
 	t.Parallel()
-	from, old := startFakeAgent(t)
-	to, calls := startFakeAgent(t)
+	oldAddr, oldCalls := startFakeAgent(t)
+	newAddr, calls := startFakeAgent(t)
 	recorder := &updateRecorder{}
-	c := New(from, 0, 0, recorder.record, slog.New(slog.DiscardHandler))
-	read := make(chan struct{}) // the answer is read, and not taken yet
+	c := New(oldAddr, 0, 0, recorder.record, slog.New(slog.DiscardHandler))
+	read := make(chan struct{}) // closed when the first list is read and not applied yet
 	var once sync.Once
 	c.beforeApply = func(ctx context.Context) {
 		once.Do(func() {
@@ -160,12 +159,12 @@
 		})
 	}
 	runClient(t, c)
-	nextCall(t, old).sendList(list(90, true, "old"))
+	nextCall(t, oldCalls).sendList(list(90, true, "old"))
 	<-read
-	c.SetAddress(to)
+	c.SetAddress(newAddr)
 	nextCall(t, calls).sendList(list(3, true, "new"))
 	lbtest.Until(t, "the new list", func() bool { return recorder.contains("whole new") })
 	if recorder.contains("whole old") {
-		t.Errorf("told %q", recorder.updates)
+		t.Errorf("updates %q", recorder.updates)
 	}
 }
--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -40,57 +40,58 @@
 	return strings.Contains(strings.Join(r.updates, "|")+"|", strings.Join(want, "|")+"|")
 }
 
-// expectFirst checks that an update came before all others.
+// expectFirst checks that the first update was want.
 func (r *updateRecorder) expectFirst(t *testing.T, want string) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.updates) == 0 || r.updates[0] != want {
-		t.Errorf("told %q, want %q first", r.updates, want)
+		t.Errorf("updates %q, want %q first", r.updates, want)
 	}
 }
 
-// expectOnly checks that there was no other update.
+// expectOnly checks that the only update was want.
 func (r *updateRecorder) expectOnly(t *testing.T, want string) {
 	t.Helper()
 	r.expectFirst(t, want)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.updates) > 1 {
-		t.Errorf("told %q, want %q alone", r.updates, want)
+		t.Errorf("updates %q, want only %q", r.updates, want)
 	}
 }
 
-// serveResponses serves responses to calls one after the other, and repeats the last one.
-func serveResponses(t *testing.T, answers ...string) (addr string, queries func() []string) {
+// serveResponses starts a discovery that sends the given responses one after the other, and repeats the last. The response
+// "down" stands for status 503.
+func serveResponses(t *testing.T, responses ...string) (addr string, queries func() []string) {
 	t.Helper()
 	l := lbtest.Listen(t)
 	var mu sync.Mutex
-	var asked []string
+	var received []string
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		n := len(asked)
-		asked = append(asked, r.URL.RawQuery)
+		n := len(received)
+		received = append(received, r.URL.RawQuery)
 		mu.Unlock()
-		answer := answers[min(n, len(answers)-1)]
-		if answer == "down" {
+		response := responses[min(n, len(responses)-1)]
+		if response == "down" {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if n >= len(answers) {
+		if n >= len(responses) {
 			select {
 			case <-time.After(100 * time.Millisecond):
 			case <-r.Context().Done():
 			}
 		}
-		fmt.Fprint(w, answer)
+		fmt.Fprint(w, response)
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
 	return l.Addr().String(), func() []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return append([]string(nil), asked...)
+		return append([]string(nil), received...)
 	}
 }
 
@@ -105,7 +106,7 @@
 // maxPollInterval is the settings' bound on the time between polls.
 const maxPollInterval = 10 * time.Second
 
-// startAgentClient runs a client of an agent.
+// startAgentClient starts a client that follows an agent.
 func startAgentClient(t *testing.T, addr string) (*Client, *updateRecorder) {
 	t.Helper()
 	recorder := &updateRecorder{}
--- a/internal/platform/discovery/clock_test.go
+++ b/internal/platform/discovery/clock_test.go
@@ -9,20 +9,20 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// fakeClock is a client's clock that the test advances. So the test knows exactly what a client waits for, over real sockets and
-// however long these take.
+// fakeClock is a client's clock that only the test advances. A test can therefore check timeouts and pauses exactly, although
+// the client uses real sockets with unknown delays.
 type fakeClock struct {
 	pauses chan time.Duration // receives the length of each pause of the client
 	resume chan struct{}      // ends the current pause
 
 	mu            sync.Mutex
 	now           time.Duration
-	timers        []*fakeTimer // of calls that are open
+	timers        []*fakeTimer // timeouts of open calls
 	timersStarted int
 }
 
 type fakeTimer struct {
-	at time.Duration
+	at time.Duration // time of the clock
 	do func()
 }
 
@@ -74,7 +74,7 @@
 // awaitStartedTimers waits until the given number of timers were started in all.
 func (f *fakeClock) awaitStartedTimers(t *testing.T, want int) {
 	t.Helper()
-	lbtest.Until(t, "the bound of a call", func() bool {
+	lbtest.Until(t, "the timeout of a call is started", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.timersStarted >= want
@@ -125,9 +125,9 @@
 	case d := <-f.pauses:
 		return d
 	case c := <-calls:
-		t.Fatalf("%q came without a pause", c.query)
+		t.Fatalf("call with query %q was made without a pause", c.query)
 	case <-time.After(lbtest.Wait):
-		t.Fatal("no pause")
+		t.Fatal("client did not pause")
 	}
 	panic("unreachable")
 }
@@ -140,7 +140,7 @@
 	f.resume <- struct{}{}
 }
 
-// firstPause returns the first pause of a client.
+// firstPause returns a channel that receives the length of the client's first pause.
 func firstPause(c *Client) <-chan time.Duration {
 	first := make(chan time.Duration, 1)
 	c.pause = func(ctx context.Context, d time.Duration) {
--- a/internal/platform/discovery/latereader_test.go
+++ b/internal/platform/discovery/latereader_test.go
@@ -27,14 +27,14 @@
 	return c.TCPConn.Read(p)
 }
 
-// A call whose response has arrived, and is read late, is not given up as silent; one without a response is
+// A call must not time out if its response has arrived and this process reads it late. A call without a response must time out
 // (docs/incidents/answers-read-late.md).
-func TestLateReaderIsNoSilence(t *testing.T) {
+func TestResponseReadLateIsNotTimedOut(t *testing.T) {
 	t.Parallel()
-	for _, answers := range []bool{true, false} {
+	for _, hasResponse := range []bool{true, false} {
 		addr, _ := serveResponses(t, `{"index": 1, "snapshot": true, "instances": []}`)
-		if !answers {
-			addr = lbtest.Listen(t).Addr().String() // takes connections, and answers nothing
+		if !hasResponse {
+			addr = lbtest.Listen(t).Addr().String() // accepts connections and sends no response
 		}
 		var lock sync.RWMutex
 		conns := make(chan *net.TCPConn, 1)
@@ -62,47 +62,47 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answers {
+		if hasResponse {
 			lbtest.Until(t, "the response has arrived", func() bool { return socket.Unread(raw) > 0 })
 		}
 		go (<-expire)()
-		if !answers {
+		if !hasResponse {
 			if err := <-ended; outcomeOf(err) != discoverypoll.NoResponse {
-				t.Errorf("without a response: %v", err)
+				t.Errorf("call without a response: error %v, want errNoResponse", err)
 			}
 		}
-		time.AfterFunc(5*time.Millisecond, lock.Unlock) // after the timeout, and any time later
-		if answers {
+		time.AfterFunc(5*time.Millisecond, lock.Unlock) // after the timeout; the exact time does not matter
+		if hasResponse {
 			if err := <-ended; err != nil {
-				t.Errorf("a response that has arrived: %v", err)
+				t.Errorf("call whose response had arrived: %v", err)
 			}
 		}
 	}
 }
 
-// A request that this process writes late has its whole time from then on.
-func TestLateWriteIsNoSilence(t *testing.T) {
+// If this process writes a request late, the timeout for the response starts when the request was written.
+func TestRequestWrittenLateGetsFullTimeout(t *testing.T) {
 	t.Parallel()
 	const timeout, late = time.Second, 2 * time.Second
 	c := New("127.0.0.1:1", time.Minute, 0, (&updateRecorder{}).record, slog.New(slog.DiscardHandler))
 	clock := useFakeClock(c)
 	cancelled := make(chan error, 1)
-	calls := c.startTimeouts(discoverypoll.Call{FirstByteTimeout: timeout}, func(cause error) { cancelled <- cause })
+	timeouts := c.startTimeouts(discoverypoll.Call{FirstByteTimeout: timeout}, func(cause error) { cancelled <- cause })
 	clock.mu.Lock()
 	clock.now += late
 	clock.mu.Unlock()
-	calls.wroteRequest(httptrace.WroteRequestInfo{})
+	timeouts.wroteRequest(httptrace.WroteRequestInfo{})
 	overdue := clock.firstTimer()
 	clock.removeTimer(overdue)
 	overdue.do()
 	if len(cancelled) > 0 {
-		t.Fatal("given up as it was written")
+		t.Fatal("call timed out as its request was written")
 	}
-	if left := clock.firstTimer().at; left != late+timeout {
-		t.Errorf("its time ends at %v", left)
+	if expiry := clock.firstTimer().at; expiry != late+timeout {
+		t.Errorf("timeout expires at %v", expiry)
 	}
 	clock.expireFirstTimer()
 	if len(cancelled) == 0 {
-		t.Error("not given up after its time")
+		t.Error("call did not time out")
 	}
 }
--- a/internal/platform/discovery/term_test.go
+++ b/internal/platform/discovery/term_test.go
@@ -15,11 +15,11 @@
 	"silvertrail/internal/testkit/lbtest"
 )
 
-// This file: whatever becomes of calls, a change counts as notified 6 s after discovery had it and could be reached (the
-// platform's STANDING page). So a call begins within 5 s of the one before, or as soon as the rest of its response was
-// awaited, and the list it brings is applied.
+// These tests check how long faults may delay an update. A change counts as notified 6 s after discovery received it and was
+// reachable, whether or not calls fail (the platform's STANDING page). Each call must therefore begin within 5 s of the start
+// of the call before. If a response stalls half-way, its body timeout is added. The list that a call returns must be applied.
 
-// dialMode is the outcome of the connections that a client hungDials.
+// dialMode is the outcome of the connections that a client dials.
 type dialMode int32
 
 const (
@@ -32,7 +32,7 @@
 type pollingClient struct {
 	*fakeClock
 	calls     chan *agentCall
-	hungDials chan struct{} // those that don't come up
+	hungDials chan struct{} // receives a value for each dial that hangs
 	dialMode  atomic.Int32
 }
 
@@ -41,26 +41,26 @@
 	switch dialMode(client.dialMode.Load()) {
 	case dialRefused:
 		return d.DialContext(ctx, network, "127.0.0.1:1")
-	case dialHangs: // as a dialer with a timeout does
-		over := make(chan struct{})
-		defer client.after(dialTimeout, func() { close(over) })()
+	case dialHangs: // fails after dialTimeout, as a net.Dialer with this timeout
+		timedOut := make(chan struct{})
+		defer client.after(dialTimeout, func() { close(timedOut) })()
 		client.hungDials <- struct{}{}
-		<-over
+		<-timedOut
 		return nil, os.ErrDeadlineExceeded
 	}
 	return d.DialContext(ctx, network, to)
 }
 
-// callFault is a fault of a call.
+// callFault is a fault that the test injects into a call.
 type callFault struct {
 	name        string
 	dialMode    dialMode
-	bodyTimeout time.Duration // that of the answer is waited for as long as this
+	bodyTimeout time.Duration // how long the client waits for the rest of a response that stalls; zero: none has begun, or it has ended
 	injectFault func(*testing.T, *pollingClient)
 }
 
 var callFaults = []callFault{
-	{name: "never answered", injectFault: func(t *testing.T, client *pollingClient) {
+	{name: "no response", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		nextCall(t, client.calls)
 		client.expireFirstTimer()
@@ -69,7 +69,7 @@
 		t.Helper()
 		nextCall(t, client.calls).sendUnavailable()
 	}},
-	{name: "503 at the last moment", injectFault: func(t *testing.T, client *pollingClient) {
+	{name: "503 just before the timeout", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		c := nextCall(t, client.calls)
 		client.advanceToJustBeforeExpiry()
@@ -79,7 +79,7 @@
 		t.Helper()
 		nextCall(t, client.calls).reset()
 	}},
-	{name: "reset at the last moment", injectFault: func(t *testing.T, client *pollingClient) {
+	{name: "reset just before the timeout", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		c := nextCall(t, client.calls)
 		client.advanceToJustBeforeExpiry()
@@ -89,17 +89,17 @@
 		t.Helper()
 		nextCall(t, client.calls).Close()
 	}},
-	{name: "closed after half an answer", injectFault: func(t *testing.T, client *pollingClient) {
+	{name: "closed after half a response", injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		c := nextCall(t, client.calls)
 		c.sendPartialResponse()
 		c.Close()
 	}},
-	{name: "half an answer and no more", bodyTimeout: time.Second, injectFault: func(t *testing.T, client *pollingClient) {
+	{name: "half a response and no more", bodyTimeout: time.Second, injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		stallResponse(t, client, nextCall(t, client.calls))
 	}},
-	{name: "half an answer at the last moment and no more", bodyTimeout: time.Second, injectFault: func(t *testing.T, client *pollingClient) {
+	{name: "half a response just before the timeout and no more", bodyTimeout: time.Second, injectFault: func(t *testing.T, client *pollingClient) {
 		t.Helper()
 		c := nextCall(t, client.calls)
 		client.advanceToJustBeforeExpiry()
@@ -111,23 +111,24 @@
 		select {
 		case <-client.hungDials:
 		case <-time.After(lbtest.Wait):
-			t.Fatal("no connection is dialled")
+			t.Fatal("no connection was dialled")
 		}
 		client.expireFirstTimer()
 	}},
 }
 
+// stallResponse sends a part of a response and lets the body timeout expire.
 func stallResponse(t *testing.T, client *pollingClient, c *agentCall) {
 	t.Helper()
 	started := client.startedTimers()
 	c.sendPartialResponse()
-	client.awaitStartedTimers(t, started+1) // it has begun to come
+	client.awaitStartedTimers(t, started+1) // the client has received the first byte
 	client.expireFirstTimer()
 }
 
-// TestNotifiedAfter polls discovery with each fault six times in a row, and with all in turn; by calls for changes and, after a
-// change of address, by calls for the whole list.
-func TestNotifiedAfter(t *testing.T) {
+// Polls discovery with each fault six times in a row, and with all faults in turn. The calls request changes or, after a change
+// of address, the whole list.
+func TestNextPollAfterFaultIsInTime(t *testing.T) {
 	t.Parallel()
 	sequences := map[string][]callFault{"all in turn": callFaults}
 	for _, fault := range callFaults {
@@ -155,7 +156,7 @@
 	}
 	recorder := &updateRecorder{}
 	c := New(oldAddr, maxPollInterval, 7, recorder.record, slog.New(slog.DiscardHandler))
-	c.draw = func() float64 { return 0.999 } // the latest that it may be
+	c.draw = func() float64 { return 0.999 } // longest random delay
 	c.poller = discoverypoll.New(c.draw, maxPollInterval)
 	client := &pollingClient{fakeClock: useFakeClock(c), calls: calls, hungDials: make(chan struct{}, 1)}
 	c.http.Transport.(*http.Transport).DialContext = client.dial
@@ -163,7 +164,7 @@
 		client.dialMode.Store(int32(faults[0].dialMode))
 	}
 	runClient(t, c)
-	c.Watch() // once
+	c.Watch() // polling has to go on without another Watch
 	if addressChanges {
 		nextCall(t, oldCalls)
 		client.dialMode.Store(int32(faults[0].dialMode))
@@ -175,7 +176,7 @@
 		pauseLength := client.nextPause(t, calls)
 		interval := client.time() - startedAt + pauseLength
 		if maxInterval := 5*time.Second + 20*time.Millisecond + fault.bodyTimeout; interval > maxInterval {
-			t.Errorf("call %d, %s: the next begins %v after it, want %v at the most", n, fault.name, interval, maxInterval)
+			t.Errorf("call %d, %s: the next call begins %v after the start of this call, want %v at the most", n, fault.name, interval, maxInterval)
 		}
 		nextMode := dialSucceeds
 		if n+1 < len(faults) {
@@ -190,9 +191,9 @@
 		query, text, want = "", list(3, true, "a"), "whole a"
 	}
 	if !strings.HasPrefix(last.query, query) || addressChanges && last.query != "" {
-		t.Errorf("asked %q, want %q", last.query, query)
+		t.Errorf("query %q, want prefix %q", last.query, query)
 	}
 	last.sendList(text)
-	lbtest.Until(t, "the news", func() bool { return recorder.contains(want) })
+	lbtest.Until(t, "the list sent after the faults", func() bool { return recorder.contains(want) })
 	recorder.expectOnly(t, want)
 }
