--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -123,75 +123,75 @@
 	t.Cleanup(func() { cancel(); <-ended })
 }
 
-// TestFollow receives the whole list, then changes. Older lists, invalid responses and a discovery that is down are ignored, and
-// the whole list is requested after a failure.
-func TestFollow(t *testing.T) {
+// The client requests the whole list, then changes. Older lists, invalid responses and errors have no effect on the list. After
+// a failure the whole list is requested.
+func TestSnapshotIsRequestedAfterFailure(t *testing.T) {
 	t.Parallel()
 	addr, queries := serveResponses(t, list(5, true, "a", "b"), list(6, false, "b"), list(4, true, "old"), "down", "noise", list(7, true, "c"))
 	_, recorder := startAgentClient(t, addr)
 	lbtest.Until(t, "the last list", func() bool { return recorder.contains("whole c") })
 	if !recorder.contains("whole a b", "changes b", "whole c") {
-		t.Errorf("told %q", recorder.updates)
+		t.Errorf("updates %q", recorder.updates)
 	}
-	asked := queries()
-	if asked[0] != "" || !strings.HasPrefix(asked[1], "index=5&") || !strings.HasPrefix(asked[2], "index=6&") || asked[3] != "" {
-		t.Errorf("asked %q", asked)
+	received := queries()
+	if received[0] != "" || !strings.HasPrefix(received[1], "index=5&") || !strings.HasPrefix(received[2], "index=6&") || received[3] != "" {
+		t.Errorf("query %q", received)
 	}
 }
 
-// TestDiscoveryRestarts has a discovery whose versions stay behind, as after a restart.
-func TestDiscoveryRestarts(t *testing.T) {
+// After a restart, discovery may count its versions from the start. Its lists must be applied although their versions are older.
+func TestOlderVersionsAfterRestartAreApplied(t *testing.T) {
 	t.Parallel()
 	addr, _ := serveResponses(t, list(90, true, "a"), list(2, true, "b"))
 	_, recorder := startAgentClient(t, addr)
-	lbtest.Until(t, "the list of the new count", func() bool { return recorder.contains("whole a", "whole b") })
+	lbtest.Until(t, "the list with the older version", func() bool { return recorder.contains("whole a", "whole b") })
 }
 
-// TestSetAddress changes the address: the new one sends its whole list, whatever its version, and the old one is not called.
-func TestSetAddress(t *testing.T) {
+// After a change of address, the whole list of the new address must be requested and applied, even if its version is older.
+func TestSnapshotOfNewAddressIsApplied(t *testing.T) {
 	t.Parallel()
 	first, _ := serveResponses(t, list(90, true, "a"))
 	second, queries := serveResponses(t, list(3, true, "b"))
 	c, recorder := startAgentClient(t, first)
 	lbtest.Until(t, "the first list", func() bool { return recorder.contains("whole a") })
-	c.SetAddress(first) // no move
+	c.SetAddress(first) // no change
 	c.SetAddress(second)
 	lbtest.Until(t, "the second list", func() bool { return recorder.contains("whole a", "whole b") })
-	if asked := queries(); asked[0] != "" {
-		t.Errorf("asked %q", asked)
+	if received := queries(); received[0] != "" {
+		t.Errorf("query %q", received)
 	}
 }
 
-// TestPolling checks that nothing is polled before Watch, and that a failure is followed by a pause and another call.
-func TestPolling(t *testing.T) {
+// Discovery must not be polled before Watch. A failure must be followed by a pause and another call.
+func TestPollingStartsWithWatchAndBacksOff(t *testing.T) {
 	t.Parallel()
 	addr, calls := startFakeAgent(t)
 	recorder := &updateRecorder{}
 	c := New(addr, maxPollInterval, 7, recorder.record, slog.New(slog.DiscardHandler))
-	c.watchRequested = make(chan struct{}) // taken only as it is waited for
+	c.watchRequested = make(chan struct{}) // unbuffered: a send succeeds only while Run waits for Watch
 	clock := useFakeClock(c)
 	runClient(t, c)
 	select {
 	case c.watchRequested <- struct{}{}:
-	case <-calls: // unanswered: it does not get to wait to be asked
-		t.Fatal("asked before it was time")
+	case <-calls: // gets no response, so Run cannot reach its wait for Watch
+		t.Fatal("polled before Watch")
 	case <-time.After(lbtest.Wait):
-		t.Fatal("does not wait to be asked")
+		t.Fatal("Run does not wait for Watch")
 	}
 	call := func() *agentCall {
 		c := nextCall(t, calls)
 		if c.query != "index=7&wait=60000" {
-			t.Errorf("asked %q", c.query)
+			t.Errorf("query %q", c.query)
 		}
 		return c
 	}
 	call().sendUnavailable()
 	if d := clock.nextPause(t, calls); d < time.Second {
-		t.Errorf("a pause of %v after a failure", d)
+		t.Errorf("pause of %v after a failure, want 1 s at least", d)
 	}
 	c.Watch() // does not end the pause
 	if n := len(calls); n != 0 {
-		t.Errorf("%d calls in the pause", n)
+		t.Errorf("%d calls during the pause, want none", n)
 	}
 	clock.resume <- struct{}{}
 	call().sendList(list(8, false, "a"))
@@ -205,14 +205,14 @@
 	select {
 	case next = <-c:
 	case <-time.After(lbtest.Wait):
-		t.Fatal("nothing came")
+		t.Fatal("no value received")
 	}
 	return next
 }
 
-// TestDeadWatch has the connection of a watch die silently: the watch is given up before its wait is over and discovery polled
-// again without delay, which is no failure. Instances do not all poll again at once.
-func TestDeadWatch(t *testing.T) {
+// If the connection of a watch dies without an error, the watch must time out before its wait is over. Discovery must then be
+// polled again without a pause, as the timeout is no failure. Instances do not all poll again at the same time.
+func TestWatchOnDeadConnectionTimesOut(t *testing.T) {
 	t.Parallel()
 	l := lbtest.Listen(t)
 	calls := make(chan string, 100)
@@ -233,29 +233,29 @@
 	first := firstPause(c)
 	runClient(t, c)
 	c.Watch()
-	lbtest.Until(t, "the news", func() bool { return recorder.contains("changes a") })
+	lbtest.Until(t, "the changes", func() bool { return recorder.contains("changes a") })
 	if d := receive(t, first); d != 0 {
-		t.Errorf("the next call was put off by %v", d)
+		t.Errorf("the next call was delayed by %v", d)
 	}
 	recorder.expectFirst(t, "changes a")
 	for range 2 {
 		if q := receive(t, calls); q != "index=7&wait=60000" {
-			t.Errorf("asked %q, want what follows the list in hand", q)
+			t.Errorf("query %q, want changes since version 7", q)
 		}
 	}
 }
 
-// TestIncompleteResponse has a response stop in its head or in its list. It is not awaited for as long as a watch, as its changes
-// count as notified long before; discovery is polled again at once, and that is no failure yet.
-func TestIncompleteResponse(t *testing.T) {
+// A response stalls in its header or in its list. It must time out earlier than a watch, as its changes count as notified long
+// before a watch times out. Discovery must be polled again at once, as the first stalled response does not count as a failure.
+func TestIncompleteResponseIsPolledAgainAtOnce(t *testing.T) {
 	t.Parallel()
 	whole := list(8, false, "a")
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole)
-	for _, until := range []int{10, 30, len(text) - 5} {
-		t.Run(fmt.Sprint(until), func(t *testing.T) {
+	for _, sentBytes := range []int{10, 30, len(text) - 5} {
+		t.Run(fmt.Sprint(sentBytes), func(t *testing.T) {
 			t.Parallel()
 			l := lbtest.Listen(t)
-			gave := make(chan struct{}) // that its caller has gone
+			abandoned := make(chan struct{}) // closed when the client has closed the first connection
 			queries := make(chan string, 2)
 			go func() {
 				for n := 0; ; n++ {
@@ -270,16 +270,16 @@
 					}
 					select {
 					case queries <- r.URL.RawQuery:
-					default: // enough of them
+					default: // only the first two queries are checked
 					}
 					if n > 0 {
 						fmt.Fprint(conn, text)
 						continue
 					}
-					fmt.Fprint(conn, text[:until])
+					fmt.Fprint(conn, text[:sentBytes])
 					go func() {
 						conn.Read(make([]byte, 1))
-						close(gave)
+						close(abandoned)
 					}()
 				}
 			}()
@@ -289,38 +289,38 @@
 			first := firstPause(c)
 			runClient(t, c)
 			c.Watch()
-			receive(t, gave)
-			lbtest.Until(t, "the news", func() bool { return recorder.contains("changes a") })
+			receive(t, abandoned)
+			lbtest.Until(t, "the changes", func() bool { return recorder.contains("changes a") })
 			if d := receive(t, first); d >= discoverypoll.NotificationGrace {
-				t.Errorf("the next call was put off by %v", d)
+				t.Errorf("the next call was delayed by %v", d)
 			}
 			recorder.expectFirst(t, "changes a")
 			for range 2 {
 				if q := receive(t, queries); !strings.HasPrefix(q, "index=7&") {
-					t.Errorf("asked %q, want what follows the list in hand", q)
+					t.Errorf("query %q, want changes since version 7", q)
 				}
 			}
 		})
 	}
 }
 
-// TestNoConnection checks that a connection that does not come up is a failure with backoff, and not a watch without a response,
-// so that a discovery whose host is down is not dialled by all instances without a pause.
-func TestNoConnection(t *testing.T) {
+// A connection that is not established must count as a failure, which is followed by backoff, and not as a watch without a
+// response. Otherwise all instances would dial a discovery whose host is down without a pause.
+func TestFailedConnectionIsFollowedByBackoff(t *testing.T) {
 	t.Parallel()
 	c := New("127.0.0.1:1", maxPollInterval, 7, (&updateRecorder{}).record, slog.New(slog.DiscardHandler))
 	c.http.Transport.(*http.Transport).DialContext = (&net.Dialer{Timeout: time.Nanosecond}).DialContext
 	if err := c.poll(t.Context(), c.addr, false); outcomeOf(err) != discoverypoll.Failed {
-		t.Errorf("%v: end %d, want a failure, which is followed by a pause", err, outcomeOf(err))
+		t.Errorf("%v: outcome %d, want Failed, which is followed by a pause", err, outcomeOf(err))
 	}
 }
 
-func TestTooLong(t *testing.T) {
+func TestListOverSizeLimitIsRejected(t *testing.T) {
 	t.Parallel()
 	addr, queries := serveResponses(t, `{"index": 1, "snapshot": true, "endpoints": [{"name": "`+strings.Repeat("x", maxListBytes)+`"}]}`, list(2, true, "a"))
 	_, recorder := startAgentClient(t, addr)
-	lbtest.Until(t, "a list that fits", func() bool { return recorder.contains("whole a") })
+	lbtest.Until(t, "the list within the limit", func() bool { return recorder.contains("whole a") })
 	if recorder.contains("whole "+strings.Repeat("x", maxListBytes)) || len(queries()) < 2 {
-		t.Error("a list over the bound was taken")
+		t.Error("a list over maxListBytes was applied")
 	}
 }
