--- a/internal/platform/discovery/agent_term_test.go
+++ b/internal/platform/discovery/agent_term_test.go
@@ -31,16 +31,16 @@
 func TestAgentNotifiedAfter(t *testing.T) {
 	t.Parallel()
 	for name, injectFault := range agentFaults {
-		for _, at := range []string{"first", "watch", "moved"} {
-			t.Run(name+", "+at, func(t *testing.T) {
+		for _, faultyCall := range []string{"first", "watch", "moved"} {
+			t.Run(name+", "+faultyCall, func(t *testing.T) {
 				t.Parallel()
-				agentNotifiedAfter(t, injectFault, at)
+				agentNotifiedAfter(t, injectFault, faultyCall)
 			})
 		}
 	}
 }
 
-func agentNotifiedAfter(t *testing.T, injectFault func(*agentCall), at string) {
+func agentNotifiedAfter(t *testing.T, injectFault func(*agentCall), faultyCall string) {
 	t.Helper()
 	addr, calls := startFakeAgent(t)
 	recorder := &updateRecorder{}
@@ -59,17 +59,17 @@
 		}
 	}
 	longestTimes := recordLongestTimes(c)
-	refuseDials.Store(injectFault == nil && at == "first")
+	refuseDials.Store(injectFault == nil && faultyCall == "first")
 	runClient(t, c)
-	if at != "first" {
+	if faultyCall != "first" {
 		nextCall(t, calls).sendList(list(5, true, "a"))
 		lbtest.Until(t, "the first list", func() bool { return recorder.contains("whole a") })
 		refuseDials.Store(injectFault == nil)
-		if at == "watch" && injectFault == nil { // the watch is already connected
+		if faultyCall == "watch" && injectFault == nil { // the watch is already connected
 			nextCall(t, calls).reset()
 		}
 	}
-	if at == "moved" {
+	if faultyCall == "moved" {
 		addr, calls = startFakeAgent(t)
 		c.SetAddress(addr)
 	}
@@ -89,7 +89,7 @@
 		if n == 0 {
 			firstCall = call
 		}
-		if n == 1 && callHangs && at != "watch" && !firstCall.isOpen() {
+		if n == 1 && callHangs && faultyCall != "watch" && !firstCall.isOpen() {
 			t.Error("the second call was made only after the first call had timed out")
 		}
 	}
@@ -102,7 +102,7 @@
 		}
 		return recorder.contains("whole b")
 	})
-	if recorder.contains("whole half") || at != "first" != recorder.contains("whole a", "whole b") {
+	if recorder.contains("whole half") || faultyCall != "first" != recorder.contains("whole a", "whole b") {
 		t.Errorf("updates %q", recorder.updates)
 	}
 	if timeout, pause := longestTimes(); timeout+patientBodyTimeout+pause > discoverypoll.NotifiedAfter-time.Second {
--- a/internal/platform/discovery/client.go
+++ b/internal/platform/discovery/client.go
@@ -215,7 +215,7 @@
 var errNoResponse = errors.New("silent")
 
 // errIncomplete ends a call whose response began and is incomplete, or cannot be parsed.
-var errIncomplete = errors.New("response incomplete")
+var errIncomplete = errors.New("response incomplete or invalid")
 
 func outcomeOf(err error) discoverypoll.Outcome {
 	switch {
--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -135,7 +135,7 @@
 	}
 	received := queries()
 	if received[0] != "" || !strings.HasPrefix(received[1], "index=5&") || !strings.HasPrefix(received[2], "index=6&") || received[3] != "" {
-		t.Errorf("query %q", received)
+		t.Errorf("queries %q", received)
 	}
 }
 
@@ -158,7 +158,7 @@
 	c.SetAddress(second)
 	lbtest.Until(t, "the second list", func() bool { return recorder.contains("whole a", "whole b") })
 	if received := queries(); received[0] != "" {
-		t.Errorf("query %q", received)
+		t.Errorf("queries %q", received)
 	}
 }
 
