--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -1,10 +1,10 @@
-// Package xds takes clusters and endpoints from control planes, over gRPC and from files.
+// Package xds receives clusters and endpoints from control planes, over gRPC and from files.
 //
-// It runs package ads (the protocol of a stream), selection (which control plane is active) and cache (which resources are in force)
-// on sockets, files and the clock, and decides nothing itself. docs/XDS.md states the rules.
+// It connects three packages to sockets, files and the clock: ads (the protocol of a stream), selection (which control plane is active)
+// and cache (which resources are in force). Those packages make the decisions. docs/XDS.md states the rules.
 //
-// A Client owns one goroutine for each control plane that is connected to, one that sends on its stream, one for each file that is
-// followed, and one that writes the state file. Close waits for all of them.
+// A Client owns two goroutines for each connected control plane: one receives and one sends on its stream. A control plane that is a
+// file has one goroutine, as has each watched endpoints file. One more goroutine writes the state file. Close waits for all of them.
 package xds
 
 import (
@@ -31,22 +31,22 @@
 	stop        context.CancelFunc
 	tasks       sync.WaitGroup
 
-	mu           sync.Mutex // of all that follows
+	mu           sync.Mutex // guards the fields below
 	options      bootstrap.Options
 	cache        *cache.Cache
 	selector     *selection.Selector
-	conns        []*conn            // by control plane; nil: not connected
-	streamCount  updateorder.Stream // streams that were active so far
+	conns        []*conn            // by index of the control plane; nil: not connected
+	streamCount  updateorder.Stream // number of streams that have been active; the latest stream's ID
 	followers    map[string][]*follower
 	files        map[string]*endpointsFile // by path
 	timer        *time.Timer
-	warned       map[string]bool // texts that were logged
-	usagePending bool            // the clusters in use are about to be updated
-	generation   int             // of the options; what earlier connections still report is ignored
+	warned       map[string]bool // warning texts already logged
+	usagePending bool            // a call of updateUsage is scheduled
+	generation   int             // counts changes of the options; the end of a connection of an earlier generation is ignored
 	closed       bool
 }
 
-// maxWarnings bounds the different warnings that are logged.
+// maxWarnings is the maximum number of distinct warnings that are logged.
 const maxWarnings = 1000
 
 // Start connects to the control planes until Close. It does not wait for a connection.
@@ -70,7 +70,7 @@
 	return c
 }
 
-// useControlPlanes starts over with the control planes of the options. The caller holds the lock.
+// useControlPlanes ends all connections and starts selection anew with the control planes of the options. The caller holds the lock.
 func (c *Client) useControlPlanes(o bootstrap.Options) {
 	for _, k := range c.conns {
 		if k != nil {
@@ -90,7 +90,7 @@
 	c.advance()
 }
 
-// Update uses other control planes. Cached resources stay in force.
+// Update replaces the control planes and their settings. Cached resources stay in force.
 func (c *Client) Update(o bootstrap.Options) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +127,7 @@
 	c.tasks.Wait()
 }
 
-// advance brings everything up to the time: connections, subscriptions, followers and the timer. The caller holds the lock.
+// advance updates connections, subscriptions, watched files, followers and the timer to the current time. The caller holds the lock.
 func (c *Client) advance() {
 	if c.closed {
 		return
@@ -154,7 +154,7 @@
 	c.setTimer(now)
 }
 
-// setTimer has advance called at the next deadline. The caller holds the lock.
+// setTimer schedules a call of advance at the next deadline. The caller holds the lock.
 func (c *Client) setTimer(now time.Time) {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -174,14 +174,14 @@
 	})
 }
 
-// subscribe sets what a connection subscribes to. The caller holds the lock.
+// subscribe sets the subscriptions of a connection. The caller holds the lock.
 func (c *Client) subscribe(k *conn) {
 	if k.controlPlane.File != "" {
 		var names []string
 		for kind := range ads.KindCount {
 			names = append(names, c.cache.Subscriptions(kind)...)
 		}
-		if !slices.Equal(names, k.wanted) { // the file is applied again
+		if !slices.Equal(names, k.wanted) { // apply the file again, as its subscriptions have changed
 			k.wanted = names
 			k.restart = true
 			k.wake()
@@ -201,7 +201,7 @@
 	k.wake()
 }
 
-// warn logs a warning about a resource, each text once.
+// warn logs a warning about a resource. Each text is logged once, and at most maxWarnings texts in all.
 func (c *Client) warn(text string) {
 	c.mu.Lock()
 	isNew := !c.warned[text] && len(c.warned) < maxWarnings
--- a/internal/xds/conn.go
+++ b/internal/xds/conn.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	receiveWindowBytes = 256 << 10 // that a control plane may send ahead of what is applied, beside the message in progress
+	receiveWindowBytes = 256 << 10 // bytes that a control plane may send before earlier ones are read, beside the message in progress
 	keepaliveTimeout   = 5 * time.Second
 )
 
-// errStreamEnded reports a response of a stream that has ended for the cache.
-var errStreamEnded = errors.New("the stream has ended")
+// errStreamEnded is the error for a response that arrives after endStream has ended its session.
+var errStreamEnded = errors.New("response received after its stream had ended")
 
 // conn is a connection to a control plane, or a control plane that is a file.
 type conn struct {
 	client       *Client
-	index        int // of the control plane
+	index        int // of the control plane in the options
 	controlPlane bootstrap.ControlPlane
 	ctx          context.Context
 	cancelConn   context.CancelFunc
 	wakeups      chan struct{} // holds a token while there may be something to send
 
-	// Under the client's lock:
+	// The fields below are guarded by the client's lock.
 
 	session      *ads.Session       // nil: there is no stream
-	streamID     updateorder.Stream // of the stream; zero: it is not the active one
-	up           bool
-	responded    bool     // the stream has brought a response
-	skipped      bool     // a response was not applied, as the stream was not active
-	restart      bool     // the stream is to be opened again
-	wanted       []string // of a file: the subscriptions when it was applied last
+	streamID     updateorder.Stream // ID of the active stream; zero: the stream is not active
+	up           bool               // the control plane has responded on this connection
+	responded    bool               // a response has been received on the stream
+	skipped      bool               // a response was not applied, or may be missed, because the stream was not active
+	restart      bool               // the stream has to be reopened, or the file applied again
+	wanted       []string           // for a file: its latest subscriptions; a change of them applies the file again
 	cancelStream context.CancelFunc
 }
 
@@ -74,7 +74,7 @@
 	})
 }
 
-// disconnect ends the connection to a control plane that is not needed, or has not responded. The caller holds the lock.
+// disconnect ends the connection to a control plane that is not needed or has not responded in time. The caller holds the lock.
 func (c *Client) disconnect(i int) {
 	k := c.conns[i]
 	if k == nil {
@@ -86,7 +86,7 @@
 	c.log.Info("control plane disconnected", "control_plane", k.controlPlane.Name, "responded", k.up)
 }
 
-// endStream ends the stream for the cache. The caller holds the lock.
+// endStream ends the session, and tells the cache that the stream has ended if it was active. The caller holds the lock.
 func (k *conn) endStream() {
 	if k.streamID != 0 {
 		k.client.cache.StreamEnded(k.streamID)
@@ -95,7 +95,8 @@
 	k.streamID = 0
 }
 
-// activateSelected makes the stream of the selected control plane the active one, and no other. The caller holds the lock.
+// activateSelected deactivates the streams of control planes that are not selected. It reopens the stream of the selected one where
+// responses were skipped. The caller holds the lock.
 func (c *Client) activateSelected() {
 	active, ok := c.selector.Active()
 	for i, k := range c.conns {
@@ -108,7 +109,7 @@
 			c.cache.StreamEnded(k.streamID)
 			k.streamID = 0
 			k.skipped = true
-		case k.streamID == 0 && isActive && k.skipped: // what was skipped has to be sent again
+		case k.streamID == 0 && isActive && k.skipped: // skipped responses have to be sent again
 			c.log.Info("control plane selected", "control_plane", k.controlPlane.Name)
 			k.skipped = false
 			k.restart = true
@@ -117,7 +118,7 @@
 	}
 }
 
-// wake has the sender, or the reader of a file, look for work.
+// wake makes the sender, or the reader of a file, check for work.
 func (k *conn) wake() {
 	select {
 	case k.wakeups <- struct{}{}:
@@ -125,7 +126,7 @@
 	}
 }
 
-// run keeps the connection until it fails or is cancelled.
+// run maintains the connection until it fails or is cancelled.
 func (k *conn) run(o bootstrap.Options) error {
 	if k.controlPlane.File != "" {
 		return k.followFile(o)
@@ -138,7 +139,7 @@
 		grpc.WithInitialWindowSize(receiveWindowBytes), grpc.WithInitialConnWindowSize(receiveWindowBytes),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(o.MaxMessageBytes)),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: o.KeepaliveTime, Timeout: keepaliveTimeout}),
-		// The selector has its own backoff: a connection is attempted once.
+		// gRPC attempts a connection once: its backoff of one hour leaves retries to the selector, which has its own backoff.
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: time.Hour, MaxDelay: time.Hour, Multiplier: 1},
 			MinConnectTimeout: o.Selection.ResponseTimeout,
@@ -184,7 +185,7 @@
 	return err
 }
 
-// beginSession begins the state of a stream that was opened.
+// beginSession creates the session of a newly opened stream.
 func (k *conn) beginSession(cancel context.CancelFunc, o bootstrap.Options) error {
 	c := k.client
 	c.mu.Lock()
@@ -204,14 +205,14 @@
 	return nil
 }
 
-// startResponseTimeout cancels a stream that brings no response in time. The selector's own timeout does not cover a stream that is
-// opened again while its control plane is up.
+// startResponseTimeout cancels a stream on which no response arrives within the response timeout. The selector's own timeout does not
+// cover a stream that is reopened while its control plane is up.
 func (k *conn) startResponseTimeout(ctx context.Context, cancel context.CancelFunc, o bootstrap.Options) *time.Timer {
 	return time.AfterFunc(o.Selection.ResponseTimeout, func() {
 		k.client.mu.Lock()
 		defer k.client.mu.Unlock()
 		if !k.responded && ctx.Err() == nil {
-			k.client.log.Warn("no response on a stream", "control_plane", k.controlPlane.Name)
+			k.client.log.Warn("no response on stream within the response timeout", "control_plane", k.controlPlane.Name)
 			cancel()
 		}
 	})
@@ -226,7 +227,7 @@
 			return err
 		}
 		if r.kind == ads.KindCount {
-			k.client.warn("a response of a type that is not known here is passed over")
+			k.client.warn("response of unknown type ignored")
 			continue
 		}
 		if err := k.handleResponse(r, d); err != nil {
@@ -235,7 +236,7 @@
 	}
 }
 
-// send sends the session's requests until the stream ends.
+// send sends the session's requests until the stream ends. Only the first request carries the node.
 func (k *conn) send(ctx context.Context, cancel context.CancelFunc, t transport, n bootstrap.Node) error {
 	node := &corev3.Node{Id: n.ID, Cluster: n.Cluster, UserAgentName: "silvertrail",
 		Locality: &corev3.Locality{Region: n.Region, Zone: n.Zone, SubZone: n.SubZone}}
@@ -253,10 +254,11 @@
 			cancel()
 			return err
 		}
-		node = nil // the first request alone has it
+		node = nil
 	}
 }
 
+// nextRequest returns the session's next request, and false if there is none to send.
 func (k *conn) nextRequest() (ads.Request, bool) {
 	k.client.mu.Lock()
 	defer k.client.mu.Unlock()
--- a/internal/xds/controlplanefile.go
+++ b/internal/xds/controlplanefile.go
@@ -17,7 +17,7 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// The message types that a file may hold must be linked.
+// protojson can decode a file's resources only if their message types are linked into the program.
 var (
 	_ *clusterv3.Cluster
 	_ *endpointv3.ClusterLoadAssignment
@@ -26,16 +26,16 @@
 // filePollInterval is how often a file is checked for changes.
 const filePollInterval = 100 * time.Millisecond
 
-// ParseFile reads a discovery response in protobuf JSON, which holds all clusters and all endpoint sets.
+// ParseFile parses a discovery response in protobuf JSON. A control plane file holds all clusters and endpoint sets in one response.
 func ParseFile(text []byte) (*discoveryv3.DiscoveryResponse, error) {
 	m := &discoveryv3.DiscoveryResponse{}
 	return m, protojson.Unmarshal(text, m)
 }
 
-// responses holds a response of each kind.
+// responses holds one response for each kind of resource.
 type responses [ads.KindCount]*response
 
-// splitByKind makes of a file's response one for each kind. With an error the result is incomplete.
+// splitByKind splits a file's response into one for each kind of resource. If it returns an error, the result is incomplete.
 func splitByKind(m *discoveryv3.DiscoveryResponse) (out responses, err error) {
 	for k := range ads.KindCount {
 		out[k] = &response{kind: k, version: m.VersionInfo, complete: true}
@@ -50,8 +50,8 @@
 	return out, nil
 }
 
-// followFile follows a control plane that is a file. Content that cannot be read changes nothing; a file that does not exist is an
-// error.
+// followFile watches a control plane file and applies its changes. Content that cannot be read changes nothing. It returns an error if
+// the file does not exist.
 func (k *conn) followFile(o bootstrap.Options) error {
 	d := &envoy.Decoder{Warn: k.client.warn}
 	file := watchedfile.File{Path: k.controlPlane.File, MaxBytes: o.MaxMessageBytes}
@@ -68,7 +68,7 @@
 			}
 		}
 		if err != nil {
-			k.client.log.Error("file not applied, its last content stays in force", "file", k.controlPlane.File, "error", err)
+			k.client.log.Error("control plane file not applied; last valid content stays in force", "file", k.controlPlane.File, "error", err)
 		}
 		k.applyFile(latest, changed, err == nil, d)
 		select {
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyFile applies a file's content where it has changed, or the subscriptions have.
+// applyFile applies a file's content if the content or the subscriptions have changed.
 func (k *conn) applyFile(latest responses, changed, readable bool, d *envoy.Decoder) {
 	c := k.client
 	c.mu.Lock()
@@ -92,7 +92,7 @@
 		return
 	}
 	for _, r := range latest {
-		if r.kind == ads.Endpoints { // the clusters before determine which endpoint sets are subscribed to
+		if r.kind == ads.Endpoints { // the clusters just applied determine the subscribed endpoint sets
 			c.advance()
 		}
 		decoded, errorTexts := r.decode(d)
--- a/internal/xds/credentials.go
+++ b/internal/xds/credentials.go
@@ -37,7 +37,7 @@
 	return credentials.NewTLS(config), nil
 }
 
-// hostOf returns the host of an address, or the address where it has no port.
+// hostOf returns the host of an address, or the whole address if it has no port.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/xds/endpointsfile.go
+++ b/internal/xds/endpointsfile.go
@@ -13,15 +13,15 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// endpointsFile is a file that holds endpoint sets of clusters. Its fields are under the client's lock.
+// endpointsFile is a watched file that holds endpoint sets of clusters. The client's lock guards its fields.
 type endpointsFile struct {
 	stop      context.CancelFunc
-	sets      map[string]*cache.EndpointSet // nil: the file could not be read yet
+	sets      map[string]*cache.EndpointSet // by service name; nil: the file has not been read successfully yet
 	readAt    time.Time
 	lastError string
 }
 
-// fillIn adds the endpoints that the file holds for a cluster to its view. The file may be nil.
+// fillIn sets a cluster view's state and endpoints from the file. It changes nothing if f is nil or the file has not been read yet.
 func (f *endpointsFile) fillIn(v *cache.ClusterView) {
 	if f == nil || f.sets == nil && f.lastError == "" {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// watchFiles follows the files that hold endpoint sets, and no others. The caller holds the lock.
+// watchFiles starts watching the given endpoints files and stops watching all others. The caller holds the lock.
 func (c *Client) watchFiles(paths []string) {
 	wanted := map[string]bool{}
 	for _, path := range paths {
@@ -64,7 +64,7 @@
 	}
 }
 
-// followEndpoints reads a file each time that it has changed, until the context ends.
+// followEndpoints reads a file each time it changes, until the context is cancelled.
 func (c *Client) followEndpoints(ctx context.Context, path string, f *endpointsFile, maxBytes int) {
 	d := &envoy.Decoder{Warn: c.warn}
 	file := watchedfile.File{Path: path, MaxBytes: maxBytes}
@@ -81,7 +81,8 @@
 	}
 }
 
-// updateEndpoints takes over what was read of a file: with errors the sets that could be read, beside those from before.
+// updateEndpoints stores the endpoint sets that were read from a file. If there were errors, the readable sets are merged into the
+// earlier ones.
 func (c *Client) updateEndpoints(path string, f *endpointsFile, sets map[string]*cache.EndpointSet, errorTexts []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	if text := strings.Join(errorTexts, "; "); text != f.lastError {
 		f.lastError = text
 		if text != "" {
-			c.log.Error("file not applied, its last content stays in force", "file", path, "error", text)
+			c.log.Error("endpoints file not fully applied; last valid endpoint sets stay in force", "file", path, "error", text)
 		}
 	}
 	if sets != nil {
@@ -110,7 +111,7 @@
 	}
 }
 
-// decodeEndpoints decodes a file's endpoint sets. They are nil where the file cannot be read at all.
+// decodeEndpoints decodes a file's endpoint sets. The map is nil if the file as a whole cannot be read or parsed.
 func decodeEndpoints(text []byte, err error, d *envoy.Decoder) (map[string]*cache.EndpointSet, []string) {
 	if err != nil {
 		return nil, []string{err.Error()}
--- a/internal/xds/followers.go
+++ b/internal/xds/followers.go
@@ -9,14 +9,15 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// follower is a call of Follow.
+// follower is the state of one call of Follow.
 type follower struct {
 	view     cache.ClusterView
 	notified bool
-	updates  chan struct{} // holds a token while the view was not delivered
+	updates  chan struct{} // holds a token while the latest view is not delivered
 }
 
-// Follow implements cluster.Discovery.
+// Follow implements cluster.Discovery. It reports a cluster's views until the context is cancelled. Views that are replaced before their
+// delivery are skipped.
 func (c *Client) Follow(ctx context.Context, resource string, report func(cache.ClusterView)) {
 	f := &follower{updates: make(chan struct{}, 1)}
 	c.mu.Lock()
@@ -47,10 +48,10 @@
 	c.scheduleUsage()
 }
 
-// usageDelay is how long changes of the clusters in use are collected: a configuration has thousands of them.
+// usageDelay is how long changes to the set of clusters in use are batched. A configuration may have thousands of clusters.
 const usageDelay = 2 * time.Millisecond
 
-// scheduleUsage has updateUsage called soon. The caller holds the lock.
+// scheduleUsage schedules a call of updateUsage after usageDelay. The caller holds the lock.
 func (c *Client) scheduleUsage() {
 	if c.usagePending {
 		return
@@ -59,7 +60,7 @@
 	time.AfterFunc(usageDelay, c.updateUsage)
 }
 
-// updateUsage passes the clusters in use to the cache, and notifies new followers.
+// updateUsage passes the names of the clusters in use to the cache and notifies new followers.
 func (c *Client) updateUsage() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 		f.notified = true
 		select {
 		case f.updates <- struct{}{}:
-		default: // the view before was not delivered yet and is replaced
+		default: // the previous view was not delivered yet and is replaced
 		}
 	}
 }
--- a/internal/xds/format_test.go
+++ b/internal/xds/format_test.go
@@ -11,8 +11,8 @@
 	"silvertrail/internal/xds/cache"
 )
 
-// The file of the last good state is written as recorded, and a recorded one is read.
-func TestStateFileFormat(t *testing.T) {
+// The state file is written byte for byte as in the golden file, and a golden file can be read back.
+func TestStateFileMatchesGoldenFormat(t *testing.T) {
 	var state []cache.SavedResource
 	golden.Fill(&state)
 	path := filepath.Join(t.TempDir(), "state")
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorded := golden.Binary(t, "state.hex", text)
-	if err := os.WriteFile(path, recorded, 0o600); err != nil {
+	goldenFile := golden.Binary(t, "state.hex", text)
+	if err := os.WriteFile(path, goldenFile, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var read []cache.SavedResource
@@ -35,6 +35,6 @@
 		read[i].ReceivedAt = read[i].ReceivedAt.UTC()
 	}
 	if !reflect.DeepEqual(read, state) {
-		t.Errorf("read as %+v, want %+v", read, state)
+		t.Errorf("state file read as %+v, want %+v", read, state)
 	}
 }
--- a/internal/xds/response.go
+++ b/internal/xds/response.go
@@ -12,13 +12,13 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// Bounds of the error detail of a NACK.
+// Limits on the error detail of a NACK.
 const (
 	maxReportedErrors   = 20
 	maxErrorDetailBytes = 4 << 10
 )
 
-// decode decodes the resources of a response. The errors are for the error detail.
+// decode decodes the resources of a response. The error texts go into the error detail of a NACK.
 func (r *response) decode(d *envoy.Decoder) (out cache.Response, errorTexts []string) {
 	out = cache.Response{Kind: r.kind, Version: r.version, Complete: r.complete && r.kind == ads.Clusters, Removed: r.removed}
 	decoded := map[string]bool{}
@@ -34,7 +34,7 @@
 		name := cmp.Or(invalid.Name, raw.name)
 		errorTexts = append(errorTexts, fmt.Sprintf("%s %s: %v", r.kind, cmp.Or(name, fmt.Sprintf("number %d", n)), invalid.Err))
 		if name == "" {
-			out.Complete = false // it may be any of the resources that are not in the response
+			out.Complete = false // the unnamed resource may be any that is absent from the response, so none counts as removed
 		} else if !decoded[name] {
 			out.Rejections = append(out.Rejections, cache.Rejection{Name: name, Version: raw.version, Reason: invalid.Err.Error()})
 		}
@@ -42,7 +42,7 @@
 	return out, errorTexts
 }
 
-// decode decodes a resource. The error is an *envoy.Error.
+// decode decodes a resource. decoded holds the names already found in the response. The error is an *envoy.Error.
 func (raw resource) decode(d *envoy.Decoder, k ads.Kind, decoded map[string]bool) (cache.Resource, error) {
 	out, err := d.Decode(k, raw.version, raw.any)
 	switch {
@@ -56,7 +56,7 @@
 	return out, nil
 }
 
-// handleResponse applies and answers a response. An error ends the stream.
+// handleResponse applies a response and queues its ACK or NACK. An error ends the stream.
 func (k *conn) handleResponse(r *response, d *envoy.Decoder) error {
 	decoded, errorTexts := r.decode(d)
 	c := k.client
@@ -70,7 +70,7 @@
 		return err
 	}
 	errorDetail := k.rejectionDetail(r.version, append(errorTexts, k.apply(decoded)...))
-	if err == nil { // without a subscription the response has no answer, but is cached: its subscription may follow
+	if err == nil { // a response without a subscription is not acknowledged, but is cached as its subscription may follow
 		k.session.Answer(r.kind, r.version, errorDetail)
 	}
 	c.advance()
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// apply applies a response where the stream is the active one. It returns why resources were rejected. The caller holds the lock.
+// apply applies a response if the stream is active, and returns the reasons for which resources were rejected. The caller holds the lock.
 func (k *conn) apply(decoded cache.Response) (errorTexts []string) {
 	c := k.client
 	now := time.Now()
@@ -105,7 +105,7 @@
 	return errorTexts
 }
 
-// rejectionDetail logs and returns the error detail of a response, empty where nothing of it was rejected.
+// rejectionDetail logs and returns the error detail of a response. It is empty if no resource was rejected.
 func (k *conn) rejectionDetail(version string, errorTexts []string) string {
 	if len(errorTexts) == 0 {
 		return ""
--- a/internal/xds/state.go
+++ b/internal/xds/state.go
@@ -17,14 +17,14 @@
 const (
 	stateFormat   = "silvertrail xds state 1"
 	maxStateBytes = 256 << 20
-	writeInterval = time.Second // least time between two writes of the state file
+	writeInterval = time.Second // minimum time between two writes of the state file
 )
 
-// stateWriter says where the last good state is written, and when it has changed.
+// stateWriter holds the path of the state file and the signal that the state has changed.
 type stateWriter struct {
 	mu      sync.Mutex
 	path    string
-	pending chan struct{} // holds a token while there is something to write
+	pending chan struct{} // holds a token while changes are not written
 }
 
 func newStateWriter() *stateWriter { return &stateWriter{pending: make(chan struct{}, 1)} }
@@ -41,6 +41,7 @@
 	return w.path
 }
 
+// wake signals that the state has changed.
 func (w *stateWriter) wake() {
 	select {
 	case w.pending <- struct{}{}:
@@ -48,7 +49,7 @@
 	}
 }
 
-// runStateWriter writes the state until the client is closed, and then once more where it has changed.
+// runStateWriter writes the state after changes until the client is closed, and then once more if changes are pending.
 func (c *Client) runStateWriter() {
 	for {
 		select {
@@ -69,6 +70,7 @@
 	}
 }
 
+// writeState writes a snapshot of the cache to the state file, if one is configured.
 func (c *Client) writeState() {
 	path := c.stateWriter.currentPath()
 	if path == "" {
@@ -78,11 +80,11 @@
 	saved := c.cache.Snapshot()
 	c.mu.Unlock()
 	if err := statefile.Write(path, stateFormat, saved); err != nil {
-		c.log.Error("last good state not written", "error", err)
+		c.log.Error("state file not written", "error", err)
 	}
 }
 
-// restore puts the last good state in force. A file that cannot be read is ignored, as control planes send everything again. The
+// restore loads the state file into the cache. A file that cannot be read is ignored, as control planes send all resources again. The
 // caller holds the lock.
 func (c *Client) restore(path string) {
 	var saved []cache.SavedResource
@@ -102,7 +104,7 @@
 			continue
 		}
 		resource, err := d.Decode(s.Kind, s.Version, &anypb.Any{TypeUrl: envoy.TypeOf(s.Kind), Value: s.Raw})
-		if err != nil { // written by another version of this program
+		if err != nil { // the file may come from another version of this program
 			c.log.Warn("resource of the last good state ignored", "error", err)
 			continue
 		}
--- a/internal/xds/status.go
+++ b/internal/xds/status.go
@@ -2,7 +2,7 @@
 
 import "silvertrail/internal/xds/cache"
 
-// Dump returns the state of the control planes, resources and files.
+// Dump returns the state of the control planes, resources and endpoints files.
 func (c *Client) Dump() (d cache.Dump) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -16,7 +16,7 @@
 	return d
 }
 
-// status returns the state of a connection, which may be nil.
+// status returns the status of a connection. k may be nil: the control plane is down.
 func (k *conn) status(name string) cache.ControlPlaneStatus {
 	switch {
 	case k == nil:
--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -13,30 +13,30 @@
 	"silvertrail/internal/xds/envoy"
 )
 
-// transport is a stream of one of the two variants.
+// transport is a stream of one of the two protocol variants, state of the world or delta.
 type transport interface {
 	send(r ads.Request, n *corev3.Node) error
 	receive() (*response, error)
 }
 
-// response is a discovery response of either variant, or of a file.
+// response is a discovery response of either variant, or from a file.
 type response struct {
 	kind      ads.Kind
 	version   string
 	nonce     string
-	complete  bool // state of the world, or a file
+	complete  bool // whether it is a state-of-the-world response or from a file
 	resources []resource
 	removed   []string
 }
 
-// resource is a resource that was not decoded yet.
+// resource is a resource that is not decoded yet.
 type resource struct {
-	name    string // where the variant gives it beside the resource
+	name    string // set by the delta variant only, which sends it beside the resource
 	version string
 	any     *anypb.Any
 }
 
-// openTransport opens a stream.
+// openTransport opens a stream of the given variant.
 func openTransport(ctx context.Context, client discoveryv3.AggregatedDiscoveryServiceClient, v ads.Variant) (transport, error) {
 	if v == ads.Delta {
 		s, err := client.DeltaAggregatedResources(ctx)
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -38,7 +38,7 @@
 
 var variants = []ads.Variant{ads.StateOfTheWorld, ads.Delta}
 
-func plane(t testing.TB, options ...grpc.ServerOption) *xdsserver.Server {
+func startControlPlane(t testing.TB, options ...grpc.ServerOption) *xdsserver.Server {
 	t.Helper()
 	p, err := xdsserver.Start("127.0.0.1:0", options...)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return p
 }
 
-func put(t testing.TB, p *xdsserver.Server, version string, resources ...proto.Message) {
+func putResources(t testing.TB, p *xdsserver.Server, version string, resources ...proto.Message) {
 	t.Helper()
 	if err := p.Put(version, resources...); err != nil {
 		t.Fatal(err)
@@ -83,19 +83,19 @@
 func follow(t testing.TB, c *Client, name string) *viewRecorder {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	e := &viewRecorder{t: t}
+	recorder := &viewRecorder{t: t}
 	done := make(chan struct{})
-	e.stop = sync.OnceFunc(func() { stop(); <-done })
-	t.Cleanup(e.stop)
+	recorder.stop = sync.OnceFunc(func() { stop(); <-done })
+	t.Cleanup(recorder.stop)
 	go func() {
 		defer close(done)
 		c.Follow(ctx, name, func(v cache.ClusterView) {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			e.views = append(e.views, v)
+			recorder.mu.Lock()
+			defer recorder.mu.Unlock()
+			recorder.views = append(recorder.views, v)
 		})
 	}()
-	return e
+	return recorder
 }
 
 func (r *viewRecorder) last() cache.ClusterView {
@@ -131,129 +131,130 @@
 	return strings.Join(out, " ")
 }
 
-func at(port int, health ...corev3.HealthStatus) *endpointv3.LbEndpoint {
+func endpointOnPort(port int, health ...corev3.HealthStatus) *endpointv3.LbEndpoint {
 	return xdsserver.Endpoint(fmt.Sprintf("127.0.0.1:%d", port), append(health, corev3.HealthStatus_HEALTHY)[0], 0)
 }
 
-func set(name string, ports ...int) *endpointv3.ClusterLoadAssignment {
+func endpointSet(name string, ports ...int) *endpointv3.ClusterLoadAssignment {
 	var all []*endpointv3.LbEndpoint
 	for _, p := range ports {
-		all = append(all, at(p))
+		all = append(all, endpointOnPort(p))
 	}
 	return xdsserver.EndpointSet(name, "z", all...)
 }
 
-// An invalid resource is rejected by name, and the valid ones of its response are in force; the version before an invalid one stays.
-func TestBadResource(t *testing.T) {
+// An invalid resource is rejected by name, and the valid ones of its response are applied. The previous version of the invalid resource
+// stays in force.
+func TestInvalidResourceIsRejectedAndValidOnesAreApplied(t *testing.T) {
 	for _, v := range variants {
-		p := plane(t)
-		put(t, p, "1", xdsserver.Cluster("a"), set("a", 1), xdsserver.Cluster("b"), set("b", 2))
+		p := startControlPlane(t)
+		putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1), xdsserver.Cluster("b"), endpointSet("b", 2))
 		c, _ := start(t, options(v, p.Addr()))
 		a, b := follow(t, c, "a"), follow(t, c, "b")
 		a.expectEndpoints("1")
 		b.expectEndpoints("2")
 		bad := xdsserver.Cluster("b")
 		bad.LbPolicy = clusterv3.Cluster_RING_HASH
-		put(t, p, "2", xdsserver.Cluster("a"), set("a", 1, 3), bad, set("b", 2, 4))
+		putResources(t, p, "2", xdsserver.Cluster("a"), endpointSet("a", 1, 3), bad, endpointSet("b", 2, 4))
 		a.expectEndpoints("1", "3")
-		b.expectEndpoints("2", "4") // the cluster from before, with its current endpoints
-		lbtest.Until(t, "the NACK has come", func() bool {
+		b.expectEndpoints("2", "4") // the previous version of the cluster, with its current endpoints
+		lbtest.Until(t, "the NACK is received", func() bool {
 			return slices.ContainsFunc(p.Requests(), func(r xdsserver.Request) bool {
 				return r.Type == envoy.ClusterType && strings.Contains(r.ErrorDetail, "cluster b: lb_policy: RING_HASH") && (v == ads.Delta || r.Version == "1")
 			})
 		})
-		put(t, p, "3", xdsserver.Cluster("a"), set("a", 5), xdsserver.Cluster("b"), set("b", 6))
+		putResources(t, p, "3", xdsserver.Cluster("a"), endpointSet("a", 5), xdsserver.Cluster("b"), endpointSet("b", 6))
 		a.expectEndpoints("5")
 		b.expectEndpoints("6")
 		d := c.Dump()
 		if d.ControlPlanes[0].State != "up" || !d.ControlPlanes[0].Active || len(d.Resources) != 4 || d.Resources[1].RejectionReason != "" || d.Resources[0].Source != "p0" {
-			t.Errorf("%+v", d)
+			t.Errorf("unexpected dump after the last update: %+v", d)
 		}
-		for i, r := range p.Requests() { // no request acknowledges what was not sent
+		for i, r := range p.Requests() { // no request acknowledges a version that was not sent
 			if i > 0 && r.ErrorDetail == "" && r.Nonce == "" && r.Version != "" {
-				t.Errorf("a version without a nonce: %+v", r)
+				t.Errorf("request has a version without a nonce: %+v", r)
 			}
 		}
 	}
 }
 
 // A stream that breaks and returns with an older state changes nothing for the defer time, also under another version or with a nonce that
-// was used before; new states on it count at once; a removal and a drain are not undone.
-func TestOlderStateAfterReconnect(t *testing.T) {
+// was used before. A removal and a drain are not undone. New states on the stream are applied at once.
+func TestOlderStateAfterReconnectIsDeferred(t *testing.T) {
 	for _, v := range variants {
-		p := plane(t)
-		old := []proto.Message{xdsserver.Cluster("a"), set("a", 1, 2), xdsserver.Cluster("b"), set("b", 9)}
-		put(t, p, "1", old...)
+		p := startControlPlane(t)
+		old := []proto.Message{xdsserver.Cluster("a"), endpointSet("a", 1, 2), xdsserver.Cluster("b"), endpointSet("b", 9)}
+		putResources(t, p, "1", old...)
 		c, _ := start(t, options(v, p.Addr()))
 		a, b := follow(t, c, "a"), follow(t, c, "b")
 		a.expectEndpoints("1", "2")
 		b.expectEndpoints("9")
-		put(t, p, "2", xdsserver.Cluster("a"), xdsserver.EndpointSet("a", "z", at(1, corev3.HealthStatus_DRAINING), at(3)), xdsserver.Cluster("b"), set("b", 9))
+		putResources(t, p, "2", xdsserver.Cluster("a"), xdsserver.EndpointSet("a", "z", endpointOnPort(1, corev3.HealthStatus_DRAINING), endpointOnPort(3)), xdsserver.Cluster("b"), endpointSet("b", 9))
 		a.expectEndpoints("1-draining", "3")
 		streams := p.Streams()
 		before := len(p.Requests())
-		p.Hang(true) // else the open stream would send it
-		put(t, p, "1", old...)
+		p.Hang(true) // otherwise the open stream would send the old state
+		putResources(t, p, "1", old...)
 		p.ResetStreams()
-		lbtest.Until(t, "the stream is open again", func() bool { return p.Streams() > streams })
+		lbtest.Until(t, "the stream is reopened", func() bool { return p.Streams() > streams })
 		p.Hang(false)
-		lbtest.Until(t, "the old set is deferred", func() bool { return isDeferred(c, "a") })
+		lbtest.Until(t, "the old endpoint set is deferred", func() bool { return isDeferred(c, "a") })
 		if got := a.summary(); got != "1-draining 3" {
-			t.Errorf("%v: after the old state: %s", v, got)
+			t.Errorf("%v: endpoints after the old state are %s", v, got)
 		}
 		for _, r := range p.Requests()[before:] {
 			if r.Nonce != "" {
 				break
 			}
 			if r.Version != "" {
-				t.Errorf("%+v", r)
+				t.Errorf("first request of a new stream has a version: %+v", r)
 			}
 		}
-		put(t, p, "3", xdsserver.Cluster("a"), set("a", 1, 2, 4), xdsserver.Cluster("b"), set("b", 9)) // never received before: new
+		putResources(t, p, "3", xdsserver.Cluster("a"), endpointSet("a", 1, 2, 4), xdsserver.Cluster("b"), endpointSet("b", 9)) // never received before, so not deferred
 		a.expectEndpoints("1", "2", "4")
 	}
 }
 
 func isDeferred(c *Client, name string) bool {
-	return slices.ContainsFunc(c.Dump().Resources, func(l cache.ResourceStatus) bool { return l.Name == name && l.DeferredVersion != "" })
+	return slices.ContainsFunc(c.Dump().Resources, func(r cache.ResourceStatus) bool { return r.Name == name && r.DeferredVersion != "" })
 }
 
-// An intended rollback is in force after the defer time.
-func TestRollback(t *testing.T) {
-	p := plane(t)
-	put(t, p, "1", xdsserver.Cluster("a"), set("a", 1))
+// An intended rollback to an older state is applied after the defer time.
+func TestRollbackIsAppliedAfterDeferTime(t *testing.T) {
+	p := startControlPlane(t)
+	putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1))
 	o := options(ads.Delta, p.Addr())
 	o.DeferTime = 200 * time.Millisecond
 	c, _ := start(t, o)
 	a := follow(t, c, "a")
 	a.expectEndpoints("1")
-	put(t, p, "2", xdsserver.Cluster("a"), set("a", 2))
+	putResources(t, p, "2", xdsserver.Cluster("a"), endpointSet("a", 2))
 	a.expectEndpoints("2")
 	p.Hang(true)
-	put(t, p, "1", xdsserver.Cluster("a"), set("a", 1))
+	putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1))
 	streams := p.Streams()
 	p.ResetStreams()
-	lbtest.Until(t, "the stream is open again", func() bool { return p.Streams() > streams })
+	lbtest.Until(t, "the stream is reopened", func() bool { return p.Streams() > streams })
 	p.Hang(false)
 	a.expectEndpoints("1")
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.views) > 8 {
-		t.Errorf("%d views", len(a.views))
+		t.Errorf("%d views reported, want at most 8", len(a.views))
 	}
 }
 
-// Responses in a wrong order, or missing: endpoints before their cluster; a cluster whose endpoints never come; an unknown cluster; one
-// that is removed and added in one response.
-func TestResponseOrder(t *testing.T) {
+// Responses may arrive out of order or not at all: endpoints before their cluster, a cluster whose endpoints never arrive, an unknown
+// cluster, and a cluster that is removed and added in one response.
+func TestResponsesOutOfOrderOrMissingAreHandled(t *testing.T) {
 	for _, v := range variants {
-		p := plane(t)
+		p := startControlPlane(t)
 		ended := make(chan struct{})
 		end := sync.OnceFunc(func() { close(ended) })
 		t.Cleanup(end)
 		got, once := make(chan struct{}), sync.Once{}
 		p.Script(func(s *xdsserver.Stream) error {
-			err := s.Send(envoy.EndpointsType, "1", "early", nil, set("a", 9)) // without a subscription
+			err := s.Send(envoy.EndpointsType, "1", "early", nil, endpointSet("a", 9)) // without a subscription
 			if err == nil {
 				err = s.Send("type.googleapis.com/envoy.config.listener.v3.Listener", "1", "strange", nil)
 			}
@@ -269,7 +270,7 @@
 		c, log := start(t, options(v, p.Addr()))
 		a, lost, none := follow(t, c, "a"), follow(t, c, "lost"), follow(t, c, "none")
 		a.expectEndpoints("9")
-		lbtest.Until(t, "an unknown type is logged", func() bool { return log.Contains("not known here") })
+		lbtest.Until(t, "an unknown type is logged", func() bool { return log.Contains("response of unknown type ignored") })
 		streams := p.Streams()
 		p.Script(func(s *xdsserver.Stream) error {
 			for n := 0; ; {
@@ -282,12 +283,12 @@
 					err = s.Send(r.Type, "1", "c1", []string{"none"}, xdsserver.Cluster("a"), xdsserver.Cluster("lost"))
 				case r.Type == envoy.EndpointsType && n == 0:
 					n++
-					err = s.Send(r.Type, "1", "s1", nil, set("a", 1))
-					if err == nil { // removed and present in one response, with its set sent before it
-						err = s.Send(envoy.EndpointsType, "2", "s2", nil, set("a", 2))
+					err = s.Send(r.Type, "1", "s1", nil, endpointSet("a", 1))
+					if err == nil { // the cluster is removed and present in one response, after its endpoint set
+						err = s.Send(envoy.EndpointsType, "2", "s2", nil, endpointSet("a", 2))
 					}
 					if err == nil {
-						err = s.Send(envoy.ClusterType, "2", "c2", []string{"a", "none"}, xdsserver.Cluster("lost"), again("a"))
+						err = s.Send(envoy.ClusterType, "2", "c2", []string{"a", "none"}, xdsserver.Cluster("lost"), changedCluster("a"))
 					}
 				case r.Nonce == "c2":
 					once.Do(func() { close(got) })
@@ -298,13 +299,13 @@
 			}
 		})
 		end()
-		lbtest.Until(t, "the stream is open again", func() bool { return p.Streams() > streams })
+		lbtest.Until(t, "the stream is reopened", func() bool { return p.Streams() > streams })
 		a.expectEndpoints("2")
-		lbtest.Until(t, "the missing ones are reported", func() bool {
+		lbtest.Until(t, "the missing and the removed cluster are reported", func() bool {
 			return lost.last().State == cache.Missing && none.last().State == cache.Removed
 		})
-		if why := lost.last().Reason; !strings.Contains(why, "did not come") {
-			t.Error(why)
+		if reason := lost.last().Reason; !strings.Contains(reason, "did not come") {
+			t.Error(reason)
 		}
 		<-got
 		if a.summary() != "2" {
@@ -313,52 +314,53 @@
 		a.mu.Lock()
 		for _, view := range a.views {
 			if view.State == cache.Removed || view.State == cache.Missing {
-				t.Errorf("%v: reported as %v", v, view.State)
+				t.Errorf("%v: cluster a reported as %v", v, view.State)
 			}
 		}
 		a.mu.Unlock()
 	}
 }
 
-func again(name string) *clusterv3.Cluster {
+func changedCluster(name string) *clusterv3.Cluster {
 	c := xdsserver.Cluster(name)
 	c.AltStatName = "again"
 	return c
 }
 
-// With a wildcard subscription a cluster that is used long after it was received is present at once.
-func TestWildcard(t *testing.T) {
+// With a wildcard subscription, a cluster that is first used long after it was received is available at once. Endpoints are subscribed to
+// for clusters in use only.
+func TestWildcardClusterIsAvailableAtFirstUse(t *testing.T) {
 	for _, v := range variants {
-		p := plane(t)
-		put(t, p, "1", xdsserver.Cluster("a"), set("a", 1), xdsserver.Cluster("b"), set("b", 2))
+		p := startControlPlane(t)
+		putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1), xdsserver.Cluster("b"), endpointSet("b", 2))
 		o := options(v, p.Addr())
 		o.Wildcard = true
 		c, _ := start(t, o)
-		lbtest.Until(t, "both were received", func() bool { return len(c.Dump().Resources) == 2 })
+		lbtest.Until(t, "both clusters are received", func() bool { return len(c.Dump().Resources) == 2 })
 		if r := p.Requests()[0]; len(r.Names) != 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("first request of a wildcard subscription has names: %+v", r)
 		}
 		follow(t, c, "b").expectEndpoints("2")
-		put(t, p, "2", xdsserver.Cluster("b"), set("b", 3))
-		lbtest.Until(t, "one is removed", func() bool { return c.Dump().Resources[0].State == "removed" })
+		putResources(t, p, "2", xdsserver.Cluster("b"), endpointSet("b", 3))
+		lbtest.Until(t, "cluster a is removed", func() bool { return c.Dump().Resources[0].State == "removed" })
 		for _, r := range p.Requests() {
 			if r.Type == envoy.EndpointsType && slices.Contains(r.Names, "a") {
-				t.Errorf("the endpoints of an unused cluster are subscribed to: %+v", r)
+				t.Errorf("request subscribes to the endpoints of an unused cluster: %+v", r)
 			}
 		}
 	}
 }
 
-// A response that is cut off changes nothing, and comes again over the next stream.
-func TestTruncatedResponse(t *testing.T) {
+// A response that is truncated by a broken connection changes nothing, and is received again over the next stream.
+func TestTruncatedResponseChangesNothing(t *testing.T) {
 	for _, v := range variants {
-		p := plane(t)
+		p := startControlPlane(t)
 		path, err := fake.NewPath(p.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(path.Close)
-		put(t, p, "1", xdsserver.Cluster("a"), set("a", 1))
+		putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1))
 		c, _ := start(t, options(v, path.Addr))
 		a := follow(t, c, "a")
 		a.expectEndpoints("1")
@@ -368,24 +370,24 @@
 		}
 		streams := p.Streams()
 		path.CutAfter(fake.ToClient, 2000)
-		put(t, p, "2", xdsserver.Cluster("a"), set("a", ports...))
-		lbtest.Until(t, "the stream is open again", func() bool { return p.Streams() > streams })
+		putResources(t, p, "2", xdsserver.Cluster("a"), endpointSet("a", ports...))
+		lbtest.Until(t, "the stream is reopened", func() bool { return p.Streams() > streams })
 		if got := a.summary(); got != "1" && strings.Count(got, " ") != 499 {
-			t.Errorf("after a truncated response: %s", got)
+			t.Errorf("endpoints after a truncated response are %s", got)
 		}
 		path.CutAfter(fake.ToClient, -1)
-		lbtest.Until(t, "all are present", func() bool { return strings.Count(a.summary(), " ") == 499 })
+		lbtest.Until(t, "all 500 endpoints are present", func() bool { return strings.Count(a.summary(), " ") == 499 })
 	}
 }
 
-// A control plane that hangs after its handshake, and one whose message is too large, are replaced by the next; the first is active again
-// after its probation.
-func TestFallback(t *testing.T) {
+// If a control plane hangs after its handshake, or sends a message that is too large, the next one becomes active. The first is active
+// again after its probation.
+func TestHungOrOversizedControlPlaneFallsBackToNext(t *testing.T) {
 	for _, v := range variants {
-		first, second := plane(t, grpc.MaxSendMsgSize(256<<20)), plane(t)
+		first, second := startControlPlane(t, grpc.MaxSendMsgSize(256<<20)), startControlPlane(t)
 		first.Hang(true)
-		put(t, first, "1", xdsserver.Cluster("a"), set("a", 1))
-		put(t, second, "1", xdsserver.Cluster("a"), set("a", 2))
+		putResources(t, first, "1", xdsserver.Cluster("a"), endpointSet("a", 1))
+		putResources(t, second, "1", xdsserver.Cluster("a"), endpointSet("a", 2))
 		c, _ := start(t, options(v, first.Addr(), second.Addr()))
 		a := follow(t, c, "a")
 		a.expectEndpoints("2")
@@ -400,44 +402,45 @@
 			return s.Send(envoy.ClusterType, "2", "n", nil, huge)
 		})
 		first.ResetStreams()
-		put(t, second, "2", xdsserver.Cluster("a"), set("a", 3))
+		putResources(t, second, "2", xdsserver.Cluster("a"), endpointSet("a", 3))
 		a.expectEndpoints("3")
 		first.Script(nil)
-		put(t, first, "2", xdsserver.Cluster("a"), set("a", 4))
+		putResources(t, first, "2", xdsserver.Cluster("a"), endpointSet("a", 4))
 		a.expectEndpoints("4")
 	}
 }
 
-// Updates that come faster than they are applied are combined, and streams that break all the time lose nothing: the last state is reached.
-func TestFastUpdates(t *testing.T) {
+// The last state is reached although updates arrive faster than they are applied, and are combined, and although the stream breaks after
+// every 100 updates.
+func TestFastUpdatesReachLastState(t *testing.T) {
 	for _, v := range variants {
-		p := plane(t)
-		put(t, p, "0", xdsserver.Cluster("a"), set("a", 1))
+		p := startControlPlane(t)
+		putResources(t, p, "0", xdsserver.Cluster("a"), endpointSet("a", 1))
 		c, _ := start(t, options(v, p.Addr()))
 		a := follow(t, c, "a")
 		a.expectEndpoints("1")
 		for i := range 1000 {
-			put(t, p, fmt.Sprint(i), xdsserver.Cluster("a"), set("a", i+2))
+			putResources(t, p, fmt.Sprint(i), xdsserver.Cluster("a"), endpointSet("a", i+2))
 			if i%100 == 99 {
 				streams := p.Streams()
 				p.ResetStreams()
-				lbtest.Until(t, "the stream is open again", func() bool { return p.Streams() > streams })
+				lbtest.Until(t, "the stream is reopened", func() bool { return p.Streams() > streams })
 			}
 		}
 		a.expectEndpoints("1001")
 	}
 }
 
-// The last good state survives a restart with its age, and is replaced by what a control plane sends. A damaged file is ignored.
-func TestStateFile(t *testing.T) {
-	p := plane(t)
-	put(t, p, "1", xdsserver.Cluster("a"), set("a", 1), xdsserver.Cluster("unused"), set("unused", 7))
+// The last good state and its age survive a restart, and resources from a control plane replace it. A damaged state file is ignored.
+func TestStateFileSurvivesRestartAndIgnoresDamage(t *testing.T) {
+	p := startControlPlane(t)
+	putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1), xdsserver.Cluster("unused"), endpointSet("unused", 7))
 	o := options(ads.Delta, p.Addr())
 	o.StateFile = filepath.Join(t.TempDir(), "state")
 	c, _ := start(t, o)
 	a := follow(t, c, "a")
 	a.expectEndpoints("1")
-	put(t, p, "2", xdsserver.Cluster("a"), set("a", 2))
+	putResources(t, p, "2", xdsserver.Cluster("a"), endpointSet("a", 2))
 	a.expectEndpoints("2")
 	c.Close()
 	a.stop()
@@ -446,9 +449,9 @@
 	a = follow(t, c, "a")
 	a.expectEndpoints("2")
 	if d := c.Dump(); len(d.Resources) != 2 || !strings.Contains(d.Resources[0].Source, "last state") || time.Since(d.Resources[0].ReceivedAt) > lbtest.Wait {
-		t.Errorf("%+v", d.Resources)
+		t.Errorf("unexpected resources after a restart: %+v", d.Resources)
 	}
-	put(t, p, "3", xdsserver.Cluster("a"), set("a", 3))
+	putResources(t, p, "3", xdsserver.Cluster("a"), endpointSet("a", 3))
 	p.Hang(false)
 	a.expectEndpoints("3")
 	c.Close()
@@ -465,13 +468,13 @@
 		}
 		c, log := start(t, o)
 		if !log.Contains("file of the last good state ignored") || len(c.Dump().Resources) != 0 {
-			t.Errorf("%d bytes: %s", len(damaged), log)
+			t.Errorf("damaged state file of %d bytes was not ignored: %s", len(damaged), log)
 		}
 		c.Close()
 	}
 }
 
-func write(t testing.TB, path, text string) {
+func replaceFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -481,50 +484,50 @@
 	}
 }
 
-// Control planes and endpoint sets in files: each is replaced atomically, and one that cannot be read changes nothing.
-func TestFiles(t *testing.T) {
+// Control plane files and endpoints files are replaced atomically. A file that cannot be read changes nothing.
+func TestUnreadableFilesChangeNothing(t *testing.T) {
 	folder := t.TempDir()
 	path, sets := filepath.Join(folder, "clusters.json"), filepath.Join(folder, "sets.json")
-	one := func(name string, port int) string {
+	endpointSetJSON := func(name string, port int) string {
 		return fmt.Sprintf(`{"@type": %q, "cluster_name": %q, "endpoints": [{"lb_endpoints": [{"endpoint": {"address": {"socket_address":
 			{"address": "127.0.0.1", "port_value": %d}}}}]}]}`, envoy.EndpointsType, name, port)
 	}
 	clusters := fmt.Sprintf(`{"@type": %q, "name": "a", %s}, {"@type": %q, "name": "b", "type": "EDS", "eds_cluster_config": {"service_name": "s",
 		"eds_config": {"path_config_source": {"path": %q}}}}`, envoy.ClusterType, `"type": "EDS", "eds_cluster_config": {"eds_config": {"ads": {}}}`, envoy.ClusterType, sets)
 	file := func(port int) string {
-		return fmt.Sprintf(`{"version_info": "1", "resources": [%s, %s]}`, clusters, one("a", port))
+		return fmt.Sprintf(`{"version_info": "1", "resources": [%s, %s]}`, clusters, endpointSetJSON("a", port))
 	}
-	write(t, path, file(1))
-	write(t, sets, `{"resources": [`+one("s", 11)+`]}`)
+	replaceFile(t, path, file(1))
+	replaceFile(t, sets, `{"resources": [`+endpointSetJSON("s", 11)+`]}`)
 	o := options(ads.Delta)
 	o.ControlPlanes = []bootstrap.ControlPlane{{Name: "file", File: path}}
 	c, log := start(t, o)
 	a, b := follow(t, c, "a"), follow(t, c, "b")
 	a.expectEndpoints("1")
 	b.expectEndpoints("11")
-	write(t, path, `{"resources": [`)
-	write(t, sets, `{"resources": [`+one("s", 12)+`, {"@type": "`+envoy.EndpointsType+`", "cluster_name": "other", "endpoints": [{"priority": 3}]}]}`)
+	replaceFile(t, path, `{"resources": [`)
+	replaceFile(t, sets, `{"resources": [`+endpointSetJSON("s", 12)+`, {"@type": "`+envoy.EndpointsType+`", "cluster_name": "other", "endpoints": [{"priority": 3}]}]}`)
 	b.expectEndpoints("12")
-	lbtest.Until(t, "both faults are logged", func() bool { return log.Contains("clusters.json") && log.Contains("priorities have a gap") })
-	write(t, path, file(2))
+	lbtest.Until(t, "the errors of both files are logged", func() bool { return log.Contains("clusters.json") && log.Contains("priorities have a gap") })
+	replaceFile(t, path, file(2))
 	a.expectEndpoints("2")
 	if b.summary() != "12" {
 		t.Error(b.summary())
 	}
 	late := follow(t, c, "late")
-	lbtest.Until(t, "it is removed", func() bool { return late.last().State == cache.Removed })
+	lbtest.Until(t, "the unknown cluster is reported as removed", func() bool { return late.last().State == cache.Removed })
 	pipe := filepath.Join(folder, "pipe") // opening it would block
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	o.ControlPlanes[0].File = pipe
 	_, log = start(t, o)
-	lbtest.Until(t, "it is rejected", func() bool { return log.Contains("no regular file") })
+	lbtest.Until(t, "the pipe is rejected", func() bool { return log.Contains("no regular file") })
 }
 
-// Mutual TLS with a certificate that is replaced: the next connection presents the new one, and a control plane with a wrong name is not
-// trusted.
-func TestTLS(t *testing.T) {
+// With mutual TLS, the next connection after the client's certificate is replaced presents the new one. A control plane whose certificate
+// has another name than configured is not trusted.
+func TestMutualTLSUsesReplacedCertificate(t *testing.T) {
 	folder := t.TempDir()
 	authority, err := fake.NewAuthority(folder, "authority")
 	if err != nil {
@@ -537,8 +540,8 @@
 		}
 		return f
 	}
-	theirs := issue("plane", "plane")
-	pair, err := tls.LoadX509KeyPair(theirs.Certificate, theirs.Key)
+	serverFiles := issue("plane", "plane")
+	pair, err := tls.LoadX509KeyPair(serverFiles.Certificate, serverFiles.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -547,15 +550,15 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	var shown []string
-	p := plane(t, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: roots,
+	var presented []string
+	p := startControlPlane(t, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: roots,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			mu.Lock()
 			defer mu.Unlock()
-			shown = append(shown, s.PeerCertificates[0].DNSNames[0])
+			presented = append(presented, s.PeerCertificates[0].DNSNames[0])
 			return nil
 		}})))
-	put(t, p, "1", xdsserver.Cluster("a"), set("a", 1))
+	putResources(t, p, "1", xdsserver.Cluster("a"), endpointSet("a", 1))
 	o := options(ads.Delta, p.Addr(), p.Addr())
 	o.ControlPlanes[0].Insecure, o.ControlPlanes[0].TLS, o.ControlPlanes[0].ServerName = false, issue("first", "ours"), "somebody else"
 	o.ControlPlanes[1].Insecure, o.ControlPlanes[1].TLS, o.ControlPlanes[1].ServerName = false, o.ControlPlanes[0].TLS, "plane"
@@ -570,15 +573,15 @@
 	lbtest.Until(t, "the new certificate is presented", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return slices.Contains(shown, "second")
+		return slices.Contains(presented, "second")
 	})
-	put(t, p, "2", xdsserver.Cluster("a"), set("a", 2))
+	putResources(t, p, "2", xdsserver.Cluster("a"), endpointSet("a", 2))
 	a.expectEndpoints("2")
 }
 
-// A complete response with an unreadable resource removes nothing.
-func TestUnreadableResource(t *testing.T) {
-	p := plane(t)
+// A state-of-the-world response with an unreadable resource removes nothing.
+func TestUnreadableResourceRemovesNothing(t *testing.T) {
+	p := startControlPlane(t)
 	p.Script(func(s *xdsserver.Stream) error {
 		for n := 0; ; {
 			r, err := s.Receive()
@@ -591,7 +594,7 @@
 			case r.Type == envoy.ClusterType && n == 1:
 				err = s.Send(r.Type, "2", "c2", nil, &anypb.Any{TypeUrl: envoy.ClusterType, Value: []byte{0xff}}, &anypb.Any{TypeUrl: "x"})
 			case r.Type == envoy.EndpointsType:
-				err = s.Send(r.Type, "1", "s1", nil, set("a", 1))
+				err = s.Send(r.Type, "1", "s1", nil, endpointSet("a", 1))
 				n = -1 << 30
 			}
 			if n++; err != nil {
@@ -602,7 +605,7 @@
 	c, log := start(t, options(ads.StateOfTheWorld, p.Addr()))
 	a := follow(t, c, "a")
 	a.expectEndpoints("1")
-	lbtest.Until(t, "it is rejected", func() bool { return log.Contains("cluster number 0") && log.Contains("cluster number 1") })
+	lbtest.Until(t, "both unreadable clusters are rejected", func() bool { return log.Contains("cluster number 0") && log.Contains("cluster number 1") })
 	if a.summary() != "1" {
 		t.Error(a.summary())
 	}
