--- a/internal/xds/conn.go
+++ b/internal/xds/conn.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	receiveWindowBytes = 256 << 10 // bytes that a control plane may send before earlier ones are read, beside the message in progress
+	receiveWindowBytes = 256 << 10 // bytes that a control plane may send ahead of those that are applied, beside the message in progress
 	keepaliveTimeout   = 5 * time.Second
 )
 
@@ -40,7 +40,7 @@
 	streamID     updateorder.Stream // ID of the active stream; zero: the stream is not active
 	up           bool               // the control plane has responded on this connection
 	responded    bool               // a response has been received on the stream
-	skipped      bool               // a response was not applied, or may be missed, because the stream was not active
+	skipped      bool               // responses were or may be left unapplied, because the stream is not active
 	restart      bool               // the stream has to be reopened, or the file applied again
 	wanted       []string           // for a file: its latest subscriptions; a change of them applies the file again
 	cancelStream context.CancelFunc
--- a/internal/xds/endpointsfile.go
+++ b/internal/xds/endpointsfile.go
@@ -21,7 +21,7 @@
 	lastError string
 }
 
-// fillIn sets a cluster view's state and endpoints from the file. It changes nothing if f is nil or the file has not been read yet.
+// fillIn sets a cluster view's state and endpoints from the file. It changes nothing if f is nil or no read was attempted yet.
 func (f *endpointsFile) fillIn(v *cache.ClusterView) {
 	if f == nil || f.sets == nil && f.lastError == "" {
 		return
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -246,13 +246,13 @@
 
 // Responses may arrive out of order or not at all: endpoints before their cluster, a cluster whose endpoints never arrive, an unknown
 // cluster, and a cluster that is removed and added in one response.
-func TestResponsesOutOfOrderOrMissingAreHandled(t *testing.T) {
+func TestOutOfOrderOrMissingResponsesRemoveNoUsedCluster(t *testing.T) {
 	for _, v := range variants {
 		p := startControlPlane(t)
 		ended := make(chan struct{})
 		end := sync.OnceFunc(func() { close(ended) })
 		t.Cleanup(end)
-		got, once := make(chan struct{}), sync.Once{}
+		acknowledged, once := make(chan struct{}), sync.Once{}
 		p.Script(func(s *xdsserver.Stream) error {
 			err := s.Send(envoy.EndpointsType, "1", "early", nil, endpointSet("a", 9)) // without a subscription
 			if err == nil {
@@ -291,7 +291,7 @@
 						err = s.Send(envoy.ClusterType, "2", "c2", []string{"a", "none"}, xdsserver.Cluster("lost"), changedCluster("a"))
 					}
 				case r.Nonce == "c2":
-					once.Do(func() { close(got) })
+					once.Do(func() { close(acknowledged) })
 				}
 				if err != nil {
 					return err
@@ -307,7 +307,7 @@
 		if reason := lost.last().Reason; !strings.Contains(reason, "did not come") {
 			t.Error(reason)
 		}
-		<-got
+		<-acknowledged
 		if a.summary() != "2" {
 			t.Error(a.summary())
 		}
@@ -382,7 +382,7 @@
 
 // If a control plane hangs after its handshake, or sends a message that is too large, the next one becomes active. The first is active
 // again after its probation.
-func TestHungOrOversizedControlPlaneFallsBackToNext(t *testing.T) {
+func TestHungStreamOrOversizedMessageFallsBackToNextControlPlane(t *testing.T) {
 	for _, v := range variants {
 		first, second := startControlPlane(t, grpc.MaxSendMsgSize(256<<20)), startControlPlane(t)
 		first.Hang(true)
