--- a/lbpolicy/balancer_test.go
+++ b/lbpolicy/balancer_test.go
@@ -1043,8 +1043,8 @@
 		for now := sec; now < 6*sec; now += sec / 10 {
 			b.advance(now)
 		}
-		if s.ejected == pending || (s.summedWait == 0 && !s.ejected) != pending {
-			t.Errorf("dispatch pending %t: ejected %t, counted wait %v", pending, s.ejected, s.summedWait)
+		if s.ejected == pending || (s.waitSum == 0 && !s.ejected) != pending {
+			t.Errorf("dispatch pending %t: ejected %t, counted wait %v", pending, s.ejected, s.waitSum)
 		}
 		for i := range RequestID(8) {
 			b.Outcome(6*sec, Outcome{ID: i + 1, Server: 1, Verdict: NotSent, Final: true})
--- a/lbpolicy/health.go
+++ b/lbpolicy/health.go
@@ -51,7 +51,7 @@
 // ejection, and minUnresponsiveWait counts from the first write.
 func (b *Balancer) ejectIfUnresponsive(now time.Duration, s *server) {
 	usual := b.usualLatency() / max(b.capacity(now, s), minCapacity)
-	unresponsive := s.summedWait > unresponsiveMultiple*usual && s.unansweredSeconds > minUnresponsiveWait*usual
+	unresponsive := s.waitSum > unresponsiveMultiple*usual && s.unansweredSeconds > minUnresponsiveWait*usual
 	if !unresponsive || !s.mayEject(now) {
 		return
 	}
--- a/lbpolicy/report.go
+++ b/lbpolicy/report.go
@@ -28,7 +28,7 @@
 // of all requests, and the longest wait.
 func describeSilence(now time.Duration, s *server, progress ServerProgress) string {
 	longest := now - progress.WaitingSince
-	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.unansweredSeconds, s.summedWait, longest.Seconds())
+	return fmt.Sprintf("silent for %.3f s, %.3f s for all requests, %.3f s for the first one", s.unansweredSeconds, s.waitSum, longest.Seconds())
 }
 
 // describeHedge describes a hedged request before it is sent. The attempt in flight has the number n.
--- a/lbpolicy/requests.go
+++ b/lbpolicy/requests.go
@@ -114,10 +114,10 @@
 	if waiting := s.inFlight - s.dispatchPending; waiting > 0 {
 		dt := (now - s.waitedAt).Seconds()
 		s.unansweredSeconds += dt
-		s.summedWait += dt * float64(waiting)
+		s.waitSum += dt * float64(waiting)
 	}
 	s.waitedAt = now
 }
 
 // clearWait resets the wait when a server has responded or is ejected.
-func (s *server) clearWait() { s.summedWait, s.unansweredSeconds = 0, 0 }
+func (s *server) clearWait() { s.waitSum, s.unansweredSeconds = 0, 0 }
