--- a/lbpolicy/balancer.go
+++ b/lbpolicy/balancer.go
@@ -57,7 +57,7 @@
 	latency           float64 // smoothed, in seconds; 0: no response yet
 	utilization       float64
 	reportedAt        time.Duration
-	waitSum        float64       // seconds since the last response, summed over the waiting requests
+	waitSum           float64       // seconds since the last response, summed over the waiting requests
 	unansweredSeconds float64       // since the last response, while at least one request waited
 	waitedAt          time.Duration // when both were last updated
 	lastResponseAt    time.Duration
