--- a/internal/balancer/engine/endpoints.go
+++ b/internal/balancer/engine/endpoints.go
@@ -21,7 +21,7 @@
 	entry           endpointlist.Endpoint // the latest valid entry of the list
 }
 
-// statesByStatus maps the statuses of the discovery service to the statesByStatus of the policy.
+// statesByStatus maps the statuses of the discovery service to the states of the policy.
 var statesByStatus = map[string]lbpolicy.State{"ready": lbpolicy.Ready, "draining": lbpolicy.Draining, "gone": lbpolicy.Removed}
 
 // UpdateEndpoints applies an endpoint list. Invalid entries are ignored.
--- a/internal/balancer/engine/engine.go
+++ b/internal/balancer/engine/engine.go
@@ -69,7 +69,7 @@
 	return e, err
 }
 
-// processEvent processes an processEvent, and then the events that its actions cause.
+// processEvent processes an event, and then the events that its actions cause.
 func (e *Engine) processEvent(f func(now time.Duration)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
